--- a/crates/vaneway-log/src/lib.rs
+++ b/crates/vaneway-log/src/lib.rs
@@ -49,7 +49,7 @@
 /// # Panics
 ///
 /// As [`append`].
-pub fn record(payload: &[u8]) -> Vec<u8> {
+pub fn encode_record(payload: &[u8]) -> Vec<u8> {
     let mut framed = Vec::with_capacity(HEADER_BYTES + payload.len());
     append(&mut framed, payload);
     framed
@@ -61,34 +61,34 @@
     /// The payloads, in order.
     pub records: Vec<&'a [u8]>,
     /// Bytes up to the end of the last whole record: cut the file here.
-    pub whole_bytes: usize,
+    pub valid_bytes: usize,
     /// Bytes of a torn write behind that.
     pub torn_bytes: usize,
 }
 
 /// A record that was durable is damaged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Damage {
+pub struct CorruptRecord {
     /// Where in the file the damaged record begins.
     pub offset: usize,
     /// What is wrong.
-    pub what: &'static str,
+    pub reason: &'static str,
 }
 
-impl fmt::Display for Damage {
+impl fmt::Display for CorruptRecord {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the record at offset {} is damaged: {}", self.offset, self.what)
+        write!(f, "the record at offset {} is damaged: {}", self.offset, self.reason)
     }
 }
 
-impl std::error::Error for Damage {}
+impl std::error::Error for CorruptRecord {}
 
 /// Reads the bytes of a file.
 ///
 /// # Errors
 ///
-/// [`Damage`] if a record other than a torn last one is damaged.
-pub fn recover(file: &[u8]) -> Result<Recovered<'_>, Damage> {
+/// [`CorruptRecord`] if a record other than a torn last one is damaged.
+pub fn recover(file: &[u8]) -> Result<Recovered<'_>, CorruptRecord> {
     let mut records = Vec::new();
     let mut offset = 0;
     while offset < file.len() {
@@ -100,7 +100,7 @@
             None => break,
         }
     }
-    Ok(Recovered { records, whole_bytes: offset, torn_bytes: file.len() - offset })
+    Ok(Recovered { records, valid_bytes: offset, torn_bytes: file.len() - offset })
 }
 
 fn word(bytes: &[u8], at: usize) -> u32 {
@@ -110,7 +110,7 @@
 }
 
 /// The record at `offset`, or none if the rest is a torn write.
-fn next(file: &[u8], offset: usize) -> Result<Option<&[u8]>, Damage> {
+fn next(file: &[u8], offset: usize) -> Result<Option<&[u8]>, CorruptRecord> {
     let rest = &file[offset..];
     if rest.len() < HEADER_BYTES {
         return Ok(None);
@@ -121,7 +121,7 @@
         if unwritten(rest) {
             return Ok(None);
         }
-        return Err(Damage { offset, what: "its length does not match its checksum" });
+        return Err(CorruptRecord { offset, reason: "its length does not match its checksum" });
     }
     let end = HEADER_BYTES + word(rest, 0) as usize;
     let Some(payload) = rest.get(HEADER_BYTES..end) else { return Ok(None) };
@@ -129,7 +129,7 @@
         if unwritten(&rest[end..]) {
             return Ok(None);
         }
-        return Err(Damage { offset, what: "its payload does not match its checksum" });
+        return Err(CorruptRecord { offset, reason: "its payload does not match its checksum" });
     }
     Ok(Some(payload))
 }
--- a/crates/vaneway-server/src/core/callers/answer.rs
+++ b/crates/vaneway-server/src/core/callers/answer.rs
@@ -21,12 +21,12 @@
 use vaneway_relay::Chunk;
 
 use crate::core::callers::api_error::ApiError;
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 use crate::util::outbox::Outbox;
 use crate::util::outbox::outbox;
 
 /// Where the response is awaited.
-pub type ReplyReceiver = oneshot::Receiver<Response<CallerBody>>;
+pub type ReplyReceiver = oneshot::Receiver<Response<ResponseBody>>;
 
 /// Which of the two interfaces the caller used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -63,7 +63,7 @@
 /// The answer to one caller, while it is made.
 #[derive(Debug)]
 pub struct Answer {
-    reply: Option<oneshot::Sender<Response<CallerBody>>>,
+    reply: Option<oneshot::Sender<Response<ResponseBody>>>,
     form: Form,
 }
 
@@ -84,18 +84,18 @@
     }
 
     /// Ready once the caller is gone.
-    pub fn poll_gone(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+    pub fn poll_closed(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         match (&mut self.reply, &self.form) {
             (Some(reply), _) => reply.poll_canceled(cx),
-            (None, Form::Stream { outbox: Some(outbox), .. }) => outbox.poll_gone(cx),
+            (None, Form::Stream { outbox: Some(outbox), .. }) => outbox.poll_closed(cx),
             (None, _) => Poll::Pending,
         }
     }
 
     /// Ready while the caller takes more.
-    pub fn poll_room(&self, cx: &mut Context<'_>) -> Poll<()> {
+    pub fn poll_capacity(&self, cx: &mut Context<'_>) -> Poll<()> {
         match &self.form {
-            Form::Stream { outbox: Some(outbox), .. } => outbox.poll_room(cx),
+            Form::Stream { outbox: Some(outbox), .. } => outbox.poll_capacity(cx),
             _ => Poll::Ready(()),
         }
     }
@@ -156,7 +156,7 @@
         }
     }
 
-    fn respond(&mut self, response: Response<CallerBody>) {
+    fn respond(&mut self, response: Response<ResponseBody>) {
         if let Some(reply) = self.reply.take() {
             // A caller that is gone needs no response.
             let _gone = reply.send(response);
@@ -167,7 +167,7 @@
         if let Form::Stream { limit, outbox: slot @ None } = &mut self.form {
             let (outbox, body) = outbox(*limit);
             *slot = Some(outbox);
-            self.respond(event_stream(CallerBody::Fed(body)));
+            self.respond(event_stream(ResponseBody::Streamed(body)));
         }
         if let Form::Stream { outbox: Some(outbox), .. } = &self.form {
             push_event(outbox, data);
@@ -181,7 +181,7 @@
     outbox.push(b"\n\n");
 }
 
-fn event_stream(body: CallerBody) -> Response<CallerBody> {
+fn event_stream(body: ResponseBody) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
@@ -190,8 +190,8 @@
 }
 
 /// A response with a JSON body.
-pub fn json_response(status: StatusCode, body: Bytes) -> Response<CallerBody> {
-    let mut response = Response::new(CallerBody::full(body));
+pub fn json_response(status: StatusCode, body: Bytes) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::full(body));
     *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
--- a/crates/vaneway-server/src/core/callers/api_error.rs
+++ b/crates/vaneway-server/src/core/callers/api_error.rs
@@ -14,7 +14,7 @@
 use vaneway_relay::FailureKind;
 pub use vaneway_relay::RunState;
 
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 
 /// Header that says whether the request was run: `not_run`, `ran` or `unknown`.
 pub const RUN_HEADER: HeaderName = HeaderName::from_static("x-vaneway-run");
@@ -110,8 +110,8 @@
     }
 
     /// The error as a response.
-    pub fn into_response(self) -> Response<CallerBody> {
-        let body = CallerBody::full(Bytes::from(self.to_json()));
+    pub fn into_response(self) -> Response<ResponseBody> {
+        let body = ResponseBody::full(Bytes::from(self.to_json()));
         let mut response = Response::new(body);
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
--- a/crates/vaneway-server/src/core/callers/front.rs
+++ b/crates/vaneway-server/src/core/callers/front.rs
@@ -9,7 +9,7 @@
 
 use crate::core::callers::protocol::CallerProtocol;
 use crate::core::entry::Entry;
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 use crate::util::http_server;
 use crate::util::http_server::ConnectionLimits;
 use crate::util::http_server::Handler;
@@ -34,7 +34,7 @@
 }
 
 impl<C: CallerProtocol> Handler for Front<C> {
-    async fn handle(self: Rc<Self>, req: Request<Incoming>) -> Response<CallerBody> {
+    async fn handle(self: Rc<Self>, req: Request<Incoming>) -> Response<ResponseBody> {
         self.protocol.serve(Rc::clone(&self.entry), req).await
     }
 
@@ -42,12 +42,12 @@
         let limits = self.entry.caller_limits();
         ConnectionLimits {
             header_bytes: limits.header_bytes,
-            header_within: limits.header_within,
-            idle_within: limits.idle_within,
+            header_timeout: limits.header_within,
+            idle_timeout: limits.idle_within,
         }
     }
 
-    fn connections(&self, count: usize) {
+    fn connections_changed(&self, count: usize) {
         self.entry.callers.set(count);
     }
 }
--- a/crates/vaneway-server/src/core/callers/mod.rs
+++ b/crates/vaneway-server/src/core/callers/mod.rs
@@ -3,7 +3,7 @@
 pub mod answer;
 pub mod api_error;
 pub mod front;
-pub mod own;
+pub mod native;
 pub mod protocol;
 pub mod ready;
 pub mod routed;
--- a/crates/vaneway-server/src/core/callers/own.rs
+++ b/crates/vaneway-server/src/core/callers/native.rs
@@ -36,7 +36,7 @@
 use crate::core::entry::Phase;
 use crate::core::settings::Organisation;
 use crate::core::settings::ServiceKind;
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 use crate::util::clock;
 
 /// Where paths to plain services begin.
@@ -44,10 +44,10 @@
 
 /// The product's own interface for callers.
 #[derive(Debug, Clone, Copy)]
-pub struct OwnCallers;
+pub struct NativeCallers;
 
-impl CallerProtocol for OwnCallers {
-    async fn serve(&self, entry: Rc<Entry>, req: Request<Incoming>) -> Response<CallerBody> {
+impl CallerProtocol for NativeCallers {
+    async fn serve(&self, entry: Rc<Entry>, req: Request<Incoming>) -> Response<ResponseBody> {
         match route(&entry, req).await {
             Ok(response) => response,
             Err(error) => {
@@ -61,7 +61,7 @@
 async fn route(
     entry: &Rc<Entry>,
     req: Request<Incoming>,
-) -> Result<Response<CallerBody>, ApiError> {
+) -> Result<Response<ResponseBody>, ApiError> {
     let path = req.uri().path();
     match (req.method(), path) {
         (&Method::GET, "/healthz") => Ok(text(StatusCode::OK, "ok\n")),
@@ -87,20 +87,20 @@
     }
 }
 
-fn text(status: StatusCode, text: &'static str) -> Response<CallerBody> {
-    let mut response = Response::new(CallerBody::full(Bytes::from_static(text.as_bytes())));
+fn text(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::full(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
-fn readiness(entry: &Entry) -> Response<CallerBody> {
+fn readiness(entry: &Entry) -> Response<ResponseBody> {
     match entry.phase() {
         Phase::Serving => text(StatusCode::OK, "ready\n"),
         Phase::Unready | Phase::Finishing => text(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"),
     }
 }
 
-fn models(entry: &Entry) -> Response<CallerBody> {
+fn models(entry: &Entry) -> Response<ResponseBody> {
     let services = entry.settings.services.iter();
     let data: Vec<_> = services
         .flat_map(|service| service.models.iter().map(move |model| (service, model)))
@@ -145,9 +145,9 @@
     if body.size_hint().lower() > most as u64 {
         return Err(too_large());
     }
-    let until = clock::now() + limits.caller_stall;
+    let until = clock::now() + limits.caller_stall_timeout;
     let body = Limited::new(body, most).collect();
-    match entry.timers.until(until, body).await {
+    match entry.timers.timeout_at(until, body).await {
         // A copy: the original is a slice of the connection's read buffer, which it would keep
         // alive for as long as the request is open.
         Some(Ok(body)) => Ok(Bytes::copy_from_slice(&body.to_bytes())),
@@ -164,7 +164,7 @@
     entry: &Rc<Entry>,
     req: Request<Incoming>,
     interface: Interface,
-) -> Result<Response<CallerBody>, ApiError> {
+) -> Result<Response<ResponseBody>, ApiError> {
     let organisation = organisation(entry, req.headers())?;
     admit(entry)?;
     let key = key(req.headers())?;
@@ -185,7 +185,7 @@
 async fn plain(
     entry: &Rc<Entry>,
     req: Request<Incoming>,
-) -> Result<Response<CallerBody>, ApiError> {
+) -> Result<Response<ResponseBody>, ApiError> {
     let organisation = organisation(entry, req.headers())?;
     admit(entry)?;
     let key = key(req.headers())?;
@@ -214,9 +214,9 @@
     let limits = CallLimits {
         max_attempts: settings.max_attempts,
         deadline: clock::now() + settings.deadline,
-        patience: Patience::Within(settings.patience),
-        head_within: settings.stall,
-        pause_within: settings.stall,
+        patience: Patience::Within(settings.endpoint_wait_timeout),
+        head_within: settings.stall_timeout,
+        pause_within: settings.stall_timeout,
     };
     let request = CallRequest {
         id: entry.next_request_id(),
@@ -244,8 +244,8 @@
 async fn at_most_once(
     entry: &Rc<Entry>,
     claim: Option<(ClaimKey, Digest)>,
-    call: impl Future<Output = Response<CallerBody>> + 'static,
-) -> Result<Response<CallerBody>, ApiError> {
+    call: impl Future<Output = Response<ResponseBody>> + 'static,
+) -> Result<Response<ResponseBody>, ApiError> {
     match claim {
         Some((key, digest)) => keyed_call::call(Rc::clone(entry), key, digest, call).await,
         None => Ok(call.await),
--- a/crates/vaneway-server/src/core/callers/protocol.rs
+++ b/crates/vaneway-server/src/core/callers/protocol.rs
@@ -13,7 +13,7 @@
 use crate::core::callers::api_error::ApiError;
 use crate::core::endpoints::protocol::EndpointProtocol;
 use crate::core::entry::Entry;
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 
 /// What callers speak.
 pub trait CallerProtocol: 'static {
@@ -22,7 +22,7 @@
         &self,
         entry: Rc<Entry>,
         req: Request<Incoming>,
-    ) -> impl Future<Output = Response<CallerBody>>;
+    ) -> impl Future<Output = Response<ResponseBody>>;
 }
 
 /// What the head of a routed request says.
@@ -56,5 +56,5 @@
     fn read_head(&self, head: &request::Parts) -> Result<CallerHead, ApiError>;
 
     /// An error in the protocol's form.
-    fn error(&self, error: &ApiError) -> Response<CallerBody>;
+    fn error(&self, error: &ApiError) -> Response<ResponseBody>;
 }
--- a/crates/vaneway-server/src/core/callers/ready.rs
+++ b/crates/vaneway-server/src/core/callers/ready.rs
@@ -13,7 +13,7 @@
 
 use crate::core::entry::Entry;
 use crate::core::entry::Phase;
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 use crate::util::http_server;
 use crate::util::http_server::ConnectionLimits;
 use crate::util::http_server::Handler;
@@ -47,18 +47,18 @@
 }
 
 impl Handler for Ready {
-    async fn handle(self: Rc<Self>, _req: Request<Incoming>) -> Response<CallerBody> {
+    async fn handle(self: Rc<Self>, _req: Request<Incoming>) -> Response<ResponseBody> {
         let (status, text) = if is_ready(&self.0) {
             (StatusCode::OK, "ready\n")
         } else {
             (StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
         };
-        let mut response = Response::new(CallerBody::full(Bytes::from_static(text.as_bytes())));
+        let mut response = Response::new(ResponseBody::full(Bytes::from_static(text.as_bytes())));
         *response.status_mut() = status;
         response
     }
 
     fn limits(&self) -> ConnectionLimits {
-        ConnectionLimits::of_calls(HEADER_BYTES)
+        ConnectionLimits::for_internal_calls(HEADER_BYTES)
     }
 }
--- a/crates/vaneway-server/src/core/callers/routed.rs
+++ b/crates/vaneway-server/src/core/callers/routed.rs
@@ -19,7 +19,7 @@
 use vaneway_relay::RunState;
 
 use crate::core::callers::api_error::ApiError;
-use crate::core::callers::own;
+use crate::core::callers::native;
 use crate::core::callers::protocol::CallerHead;
 use crate::core::callers::protocol::CallerProtocol;
 use crate::core::callers::protocol::RoutedProtocol;
@@ -34,7 +34,7 @@
 use crate::core::entry::Entry;
 use crate::core::quarantine;
 use crate::core::route_table::RouteTable;
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 use crate::util::clock;
 use crate::util::hash;
 use crate::util::logline::Line;
@@ -53,7 +53,7 @@
 pub struct Routed<P>(pub P);
 
 impl<P: RoutedProtocol> CallerProtocol for Routed<P> {
-    async fn serve(&self, entry: Rc<Entry>, req: Request<Incoming>) -> Response<CallerBody> {
+    async fn serve(&self, entry: Rc<Entry>, req: Request<Incoming>) -> Response<ResponseBody> {
         let (parts, body) = req.into_parts();
         let answer = match self.0.read_head(&parts) {
             Ok(head) => serve(&entry, &self.0, &head, Request::from_parts(parts, body)).await,
@@ -82,7 +82,7 @@
     protocol: &P,
     head: &CallerHead,
     req: Request<Incoming>,
-) -> Result<Response<CallerBody>, ApiError> {
+) -> Result<Response<ResponseBody>, ApiError> {
     let received = clock::now();
     let (request, limits, units) = match admit(entry, head, req, received).await {
         Ok(admitted) => admitted,
@@ -122,9 +122,9 @@
         ApiError::rejected(StatusCode::NOT_FOUND, "no_route", message)
     })?;
     let organisation = organisation(&table, route, head.key.as_deref())?;
-    own::admit(entry)?;
+    native::admit(entry)?;
     let body_bytes = table.limits().body_bytes;
-    let body = own::read_body(entry, body, body_bytes).await?;
+    let body = native::read_body(entry, body, body_bytes).await?;
     let name = organisation.map_or("", |organisation| organisation.name.as_str());
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
     let service = route.pick(hash::of(&head.id)).unwrap_or_default();
--- a/crates/vaneway-server/src/core/calls/attempt.rs
+++ b/crates/vaneway-server/src/core/calls/attempt.rs
@@ -37,7 +37,7 @@
 use crate::core::quarantine;
 use crate::core::rests;
 use crate::core::rests::Refusal;
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 use crate::util::clock;
 use crate::util::outbox::Outbox;
 use crate::util::outbox::outbox;
@@ -52,9 +52,9 @@
     /// Its next event.
     Event(RawEvent),
     /// An answer to pass on.
-    Answer(Response<CallerBody>),
+    Answer(Response<ResponseBody>),
     /// An answer that says that the endpoint failed, to pass on if no other endpoint does better.
-    Failed(Response<CallerBody>),
+    Failed(Response<ResponseBody>),
     /// The attempt ended; nothing follows.
     Ended {
         outcome: Outcome,
@@ -247,7 +247,7 @@
     let mut work = pin!(work);
     let mut look_at = clock::now() + SILENT_AFTER;
     loop {
-        if let Some(done) = entry.timers.until(look_at, work.as_mut()).await {
+        if let Some(done) = entry.timers.timeout_at(look_at, work.as_mut()).await {
             return Some(done);
         }
         let now = clock::now();
@@ -269,7 +269,7 @@
             if reading.occupancy.is_arriving() { limits.pause_within } else { limits.head_within };
         let until = clock::now() + within;
         let timers = reading.entry.timers.clone();
-        match timers.until(until, reading.body.data()).await {
+        match timers.timeout_at(until, reading.body.data()).await {
             Some(Some(Ok(data))) => reading.cutter.push(&data),
             Some(None) => return end_of_stream(reading),
             Some(Some(Err(error))) => break error.to_string(),
@@ -314,7 +314,7 @@
             protocol.pass_headers(&mut head.headers);
             let body = if whole {
                 entry.connections.put(addr, body);
-                CallerBody::full(held.freeze())
+                ResponseBody::full(held.freeze())
             } else {
                 pass_on(entry, addr, &held, body)
             };
@@ -334,7 +334,7 @@
     addr: std::net::SocketAddr,
     held: &[u8],
     mut body: LinkBody,
-) -> CallerBody {
+) -> ResponseBody {
     let (tx, rx) = outbox(entry.settings.limits.stream_bytes);
     tx.push(held);
     compio::runtime::spawn(async move {
@@ -344,21 +344,21 @@
         }
     })
     .detach();
-    CallerBody::Fed(rx)
+    ResponseBody::Streamed(rx)
 }
 
 /// Moves a body into an outbox; true if all of it arrived.
 async fn feed(entry: &Entry, tx: &Outbox, body: &mut LinkBody) -> bool {
     loop {
-        let until = clock::now() + entry.settings.limits.caller_stall;
-        let room = poll_fn(|cx| match tx.poll_gone(cx) {
+        let until = clock::now() + entry.settings.limits.caller_stall_timeout;
+        let room = poll_fn(|cx| match tx.poll_closed(cx) {
             Poll::Ready(()) => Poll::Ready(false),
-            Poll::Pending => tx.poll_room(cx).map(|()| true),
+            Poll::Pending => tx.poll_capacity(cx).map(|()| true),
         });
-        if entry.timers.until(until, room).await != Some(true) {
+        if entry.timers.timeout_at(until, room).await != Some(true) {
             return false;
         }
-        match entry.timers.until(until, body.data()).await {
+        match entry.timers.timeout_at(until, body.data()).await {
             Some(Some(Ok(data))) => tx.push(&data),
             Some(None) => return true,
             Some(Some(Err(_))) | None => return false,
--- a/crates/vaneway-server/src/core/calls/call.rs
+++ b/crates/vaneway-server/src/core/calls/call.rs
@@ -61,7 +61,7 @@
 use crate::core::pace;
 use crate::core::quarantine;
 use crate::core::quarantine::Placing;
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 use crate::util::clock;
 use crate::util::logline::Line;
 use crate::util::timers::Sleep;
@@ -76,7 +76,7 @@
     protocol: Rc<E>,
     request: CallRequest,
     limits: CallLimits,
-) -> Result<Response<CallerBody>, ApiError> {
+) -> Result<Response<ResponseBody>, ApiError> {
     let open = entry.open.enter(&request.organisation, &request.service_name);
     let plan = Plan {
         repeatable: request.repeatable,
@@ -189,11 +189,11 @@
         if let Poll::Ready(event) = self.events.poll_next(cx) {
             return Poll::Ready(event);
         }
-        if self.reply.poll_gone(cx).is_ready() || self.poll_stalled(cx).is_ready() {
+        if self.reply.poll_closed(cx).is_ready() || self.poll_stalled(cx).is_ready() {
             return Poll::Ready(Event::CallerGone);
         }
         let Some(current) = running else { return Poll::Pending };
-        if self.reply.poll_room(cx).is_pending() {
+        if self.reply.poll_capacity(cx).is_pending() {
             return Poll::Pending;
         }
         let item = std::task::ready!(current.items.poll_next_unpin(cx));
@@ -207,11 +207,11 @@
 
     /// Ready once the caller has left its answer unread for too long.
     fn poll_stalled(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        if self.reply.poll_room(cx).is_ready() {
+        if self.reply.poll_capacity(cx).is_ready() {
             self.stalled = None;
             return Poll::Pending;
         }
-        let limit = self.entry.settings.limits.caller_stall;
+        let limit = self.entry.settings.limits.caller_stall_timeout;
         let stalled = self.stalled.get_or_insert_with(|| self.entry.timers.sleep(limit));
         stalled.poll_unpin(cx)
     }
@@ -441,7 +441,7 @@
             (None, Answer::Events(outbox)) => outbox.finish(),
             // A stream that ended without an event.
             (None, Answer::Head(head)) => {
-                let body = CallerBody::full(bytes::Bytes::new());
+                let body = ResponseBody::full(bytes::Bytes::new());
                 self.reply.send(Ok(Response::from_parts(head, body)));
             }
             (None, Answer::Nothing) => {
--- a/crates/vaneway-server/src/core/calls/claims.rs
+++ b/crates/vaneway-server/src/core/calls/claims.rs
@@ -140,11 +140,11 @@
     if recovered.torn_bytes > 0 {
         Line::new("log_tail_cut")
             .with("file", path.display())
-            .with("offset", recovered.whole_bytes)
+            .with("offset", recovered.valid_bytes)
             .with("bytes", recovered.torn_bytes)
             .warn();
     }
-    let end = recovered.whole_bytes as u64;
+    let end = recovered.valid_bytes as u64;
     let file = OpenOptions::new().write(true).create(true).truncate(false).open(&path)?;
     file.set_len(end)?;
     file.sync_all()?;
--- a/crates/vaneway-server/src/core/calls/keyed_call.rs
+++ b/crates/vaneway-server/src/core/calls/keyed_call.rs
@@ -31,7 +31,7 @@
 use crate::core::calls::claims::ClaimEnd;
 use crate::core::calls::claims::Claims;
 use crate::core::entry::Entry;
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 use crate::util::logline::Line;
 use crate::util::outbox::Outbox;
 use crate::util::outbox::OutboxBody;
@@ -56,8 +56,8 @@
     entry: Rc<Entry>,
     key: ClaimKey,
     digest: Digest,
-    call: impl Future<Output = Response<CallerBody>> + 'static,
-) -> Result<Response<CallerBody>, ApiError> {
+    call: impl Future<Output = Response<ResponseBody>> + 'static,
+) -> Result<Response<ResponseBody>, ApiError> {
     let Some(claims) = entry.claims.clone() else { return Err(unavailable(&entry)) };
     let closed = |closed: crate::core::calls::claims::Closed| {
         ApiError::not_now("claims_unavailable", closed.to_string())
@@ -96,8 +96,8 @@
     entry: Rc<Entry>,
     claims: Claims,
     key: ClaimKey,
-    call: impl Future<Output = Response<CallerBody>> + 'static,
-) -> Response<CallerBody> {
+    call: impl Future<Output = Response<ResponseBody>> + 'static,
+) -> Response<ResponseBody> {
     let (tx, rx) = oneshot::channel();
     compio::runtime::spawn(async move {
         let response = call.await;
@@ -112,8 +112,8 @@
     entry: &Entry,
     claims: &Claims,
     key: ClaimKey,
-    response: Response<CallerBody>,
-    reply: oneshot::Sender<Response<CallerBody>>,
+    response: Response<ResponseBody>,
+    reply: oneshot::Sender<Response<ResponseBody>>,
 ) {
     let run = response.headers().get(RUN_HEADER).cloned();
     let run = run.and_then(|run| run.to_str().ok().map(str::to_owned));
@@ -123,7 +123,7 @@
     let status = head.status.as_u16();
     let answered = |body| ClaimEnd::Answered(KeptAnswer { status, content_type, body });
     match body {
-        CallerBody::Full(full) => {
+        ResponseBody::Full(full) => {
             let body = full.collect().await.map(http_body_util::Collected::to_bytes);
             let body = body.unwrap_or_else(|never| match never {});
             let end = match run.as_deref() {
@@ -133,12 +133,12 @@
             };
             end_claim(claims, key, end).await;
             // The caller may be gone; a repeat finds what was kept.
-            let _gone = reply.send(Response::from_parts(head, CallerBody::full(body)));
+            let _gone = reply.send(Response::from_parts(head, ResponseBody::full(body)));
         }
-        CallerBody::Fed(fed) => {
+        ResponseBody::Streamed(fed) => {
             let limits = &entry.settings.limits;
             let (tx, rx) = outbox(limits.stream_bytes);
-            let _gone = reply.send(Response::from_parts(head, CallerBody::Fed(rx)));
+            let _gone = reply.send(Response::from_parts(head, ResponseBody::Streamed(rx)));
             let end = match copy(fed, &tx, limits.answer_bytes).await {
                 Copied::Kept(body) => answered(Some(body)),
                 Copied::TooLong => answered(None),
@@ -182,9 +182,9 @@
             bytes.extend_from_slice(&data);
         }
         kept = kept.filter(|bytes| bytes.len() <= limit);
-        poll_fn(|cx| match to.poll_gone(cx) {
+        poll_fn(|cx| match to.poll_closed(cx) {
             Poll::Ready(()) => Poll::Ready(()),
-            Poll::Pending => to.poll_room(cx),
+            Poll::Pending => to.poll_capacity(cx),
         })
         .await;
     }
@@ -192,14 +192,14 @@
 }
 
 /// The answer that a repeat gets.
-fn replay(answer: KeptAnswer) -> Response<CallerBody> {
+fn replay(answer: KeptAnswer) -> Response<ResponseBody> {
     let Some(body) = answer.body else {
         let message = "the call ran; its answer was too long to be kept";
         let mut error = ApiError::rejected(StatusCode::CONFLICT, "answer_not_kept", message);
         error.run = RunState::Ran;
         return error.into_response();
     };
-    let mut response = Response::new(CallerBody::full(body.into()));
+    let mut response = Response::new(ResponseBody::full(body.into()));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let headers = response.headers_mut();
     headers.insert(RUN_HEADER, HeaderValue::from_static(RunState::Ran.name()));
--- a/crates/vaneway-server/src/core/cloud_notices.rs
+++ b/crates/vaneway-server/src/core/cloud_notices.rs
@@ -73,7 +73,7 @@
             Some(list) => apply_list(&entry, &list),
             None => log::debug!("event=platform_list_unavailable"),
         }
-        entry.timers.sleep(platform.list_every).await;
+        entry.timers.sleep(platform.list_interval).await;
     }
 }
 
@@ -82,7 +82,7 @@
     let Some(platform) = entry.settings.platform.clone() else { return };
     let mut after = 0;
     loop {
-        let wait = platform.notice_wait;
+        let wait = platform.notice_poll_timeout;
         let path = format!("/v1/notices?after={after}&wait_ms={}", wait.as_millis());
         match fetch::<NoticeList>(&entry, &platform, &path, wait + ANSWER_WITHIN).await {
             Some(list) => {
--- a/crates/vaneway-server/src/core/cluster/control_link.rs
+++ b/crates/vaneway-server/src/core/cluster/control_link.rs
@@ -14,13 +14,13 @@
 use crate::core::cluster::wire::ToControl;
 use crate::core::cluster::wire::Wanted;
 use crate::util::clock;
-use crate::util::frames::Encoded;
-use crate::util::outgoing::Outgoing;
+use crate::util::frames::EncodedFrame;
+use crate::util::send_queue::SendQueue;
 
 /// An open connection to a control box.
 #[derive(Debug)]
 pub(super) struct ControlLink {
-    pub(super) outgoing: Outgoing,
+    pub(super) outgoing: SendQueue,
     pub(super) opened: Instant,
     /// When anything last came.
     pub(super) heard: Cell<Instant>,
@@ -37,7 +37,7 @@
 }
 
 impl ControlLink {
-    pub(super) fn new(outgoing: Outgoing) -> Self {
+    pub(super) fn new(outgoing: SendQueue) -> Self {
         let now = clock::now();
         Self {
             outgoing,
@@ -57,7 +57,7 @@
     }
 
     /// Sends a message, unless the control box has not taken in what it was told before.
-    pub(super) fn tell(&self, message: &Encoded) {
+    pub(super) fn tell(&self, message: &EncodedFrame) {
         if !self.taken_in.get() {
             return;
         }
--- a/crates/vaneway-server/src/core/cluster/follow.rs
+++ b/crates/vaneway-server/src/core/cluster/follow.rs
@@ -55,12 +55,12 @@
 use crate::core::usage::WINDOWS_KEPT;
 use crate::util::clock;
 use crate::util::frames;
-use crate::util::frames::Encoded;
-use crate::util::frames::Silence;
+use crate::util::frames::EncodedFrame;
+use crate::util::frames::IdleTimeouts;
 use crate::util::hash;
 use crate::util::logline::Line;
-use crate::util::outgoing::HeldBytes;
-use crate::util::outgoing::Outgoing;
+use crate::util::send_queue::BufferedBytes;
+use crate::util::send_queue::SendQueue;
 use crate::util::socket;
 
 /// Largest step by which a better estimate of the cluster's time may differ without a log line.
@@ -75,7 +75,7 @@
     /// Whether a change did not fit the configuration that is in force here.
     whole_wanted: Cell<bool>,
     /// What the connections hold.
-    held: Rc<HeldBytes>,
+    held: Rc<BufferedBytes>,
     /// Control boxes that are named.
     named: RefCell<NamedControlBoxes>,
     /// Control boxes to which a connection is kept.
@@ -186,7 +186,7 @@
     }
 
     async fn run(self: &Rc<Self>, address: SocketAddr, stream: socket::SocketStream) {
-        let outgoing = Outgoing::new(&self.held);
+        let outgoing = SendQueue::new(&self.held);
         let link = ControlLink::new(outgoing.clone());
         link.send(self.hello());
         self.open.borrow_mut().insert(address, link);
@@ -195,7 +195,7 @@
             None => self.entry.metrics.datagrams_dropped.inc(),
         };
         let timers = &self.entry.timers;
-        let silence = Silence { system: SILENCE_MOST, process: BUSY_MOST };
+        let silence = IdleTimeouts { host: SILENCE_MOST, process: BUSY_MOST };
         let why = frames::drive(timers, &stream, &outgoing, silence, on_frame).await;
         let link = self.open.borrow_mut().remove(&address);
         self.source.borrow_mut().lost(address);
@@ -422,7 +422,7 @@
     }
 
     fn send_to_all(&self, message: FromEntry) {
-        let message = Encoded::new(&ToControl::Entry(message));
+        let message = EncodedFrame::new(&ToControl::Entry(message));
         for link in self.open.borrow().values() {
             link.tell(&message);
         }
--- a/crates/vaneway-server/src/core/cluster/marks.rs
+++ b/crates/vaneway-server/src/core/cluster/marks.rs
@@ -38,7 +38,7 @@
     let mut actions = Vec::new();
     cluster.marks.borrow_mut().start(&mut actions);
     carry_out(entry, actions).await;
-    entry.timers.until(clock::now() + HELLO_WITHIN, rx).await;
+    entry.timers.timeout_at(clock::now() + HELLO_WITHIN, rx).await;
 }
 
 /// Tells the peers of a mark that this box learned of.
--- a/crates/vaneway-server/src/core/cluster/reconnect.rs
+++ b/crates/vaneway-server/src/core/cluster/reconnect.rs
@@ -33,7 +33,7 @@
     let mut opened: u64 = 0;
     let mut useless: u32 = 0;
     while wanted() {
-        match socket::connect_within(timers, address, CONNECT_WITHIN).await {
+        match socket::connect_timeout(timers, address, CONNECT_WITHIN).await {
             Ok(stream) => {
                 let begun = clock::now();
                 run(stream).await;
--- a/crates/vaneway-server/src/core/cluster/wire.rs
+++ b/crates/vaneway-server/src/core/cluster/wire.rs
@@ -25,7 +25,7 @@
 use crate::core::loads::Loads;
 use crate::core::quota_use::OthersQuotaUse;
 use crate::core::usage::UseReport;
-use crate::util::outgoing::Topic;
+use crate::util::send_queue::Topic;
 
 /// Time between two tellings of what requests used, in either direction. With one from the entry box and one from
 /// the control box, and the time on the way, it must stay well below the age up to which quotas go by the use
--- a/crates/vaneway-server/src/core/control/changes.rs
+++ b/crates/vaneway-server/src/core/control/changes.rs
@@ -7,7 +7,7 @@
 use crate::core::configuration::Configuration;
 use crate::core::configuration::Version;
 use crate::core::configuration_change::ConfigurationChange;
-use crate::util::frames::Encoded;
+use crate::util::frames::EncodedFrame;
 
 /// Changes that are kept at most.
 const CHANGES_MOST: usize = 64;
@@ -20,7 +20,7 @@
 pub struct Changes {
     kept: VecDeque<ConfigurationChange>,
     /// Answers to entry boxes, by the version that they have; 0 for the whole.
-    answers: BTreeMap<Version, Encoded>,
+    answers: BTreeMap<Version, EncodedFrame>,
 }
 
 impl Changes {
@@ -40,11 +40,11 @@
     }
 
     /// What leads an entry box that has a version to the configuration `now`, which is agreed on.
-    pub fn answer(&mut self, now: &Configuration, have: Version) -> Encoded {
+    pub fn answer(&mut self, now: &Configuration, have: Version) -> EncodedFrame {
         let change = self.since(have);
         let version = change.as_ref().map_or(0, |change| change.base);
         let answer = self.answers.entry(version).or_insert_with(|| {
-            Encoded::new(&match change {
+            EncodedFrame::new(&match change {
                 Some(change) => ToEntry::ConfigurationChange(change),
                 None => ToEntry::Configuration(now.clone()),
             })
--- a/crates/vaneway-server/src/core/control/group.rs
+++ b/crates/vaneway-server/src/core/control/group.rs
@@ -338,5 +338,5 @@
     let ticket = next_ticket(control);
     control.tickets.borrow_mut().insert(ticket, tx);
     step(control, Event::Propose { ticket, command: command.encode() });
-    control.timers.until(until, rx).await?.ok()
+    control.timers.timeout_at(until, rx).await?.ok()
 }
--- a/crates/vaneway-server/src/core/control/links.rs
+++ b/crates/vaneway-server/src/core/control/links.rs
@@ -30,10 +30,10 @@
 use crate::core::entry_start::EntryStart;
 use crate::util::clock;
 use crate::util::frames;
-use crate::util::frames::Encoded;
-use crate::util::frames::Silence;
+use crate::util::frames::EncodedFrame;
+use crate::util::frames::IdleTimeouts;
 use crate::util::logline::Line;
-use crate::util::outgoing::Outgoing;
+use crate::util::send_queue::SendQueue;
 use crate::util::socket::SocketListener;
 use crate::util::socket::SocketStream;
 
@@ -42,7 +42,7 @@
 pub struct EntryLink {
     /// Who it is.
     pub start: EntryStart,
-    pub(super) outgoing: Outgoing,
+    pub(super) outgoing: SendQueue,
     /// What it wants to be told of the others.
     pub(super) wanted: Cell<Wanted>,
     /// Its number among the entry boxes as it was told last, if it wants to know.
@@ -72,7 +72,7 @@
 
 /// Sends a message to every entry box that is connected.
 pub(super) fn send_to_entries(control: &Control, message: &ToEntry) {
-    let message = Encoded::new(message);
+    let message = EncodedFrame::new(message);
     for entry in control.entries.borrow().values() {
         entry.outgoing.send_encoded(&message);
     }
@@ -80,7 +80,7 @@
 
 /// Sends a message to the entry boxes that this box tells of loads.
 pub(super) fn send_to_those_told_of_loads(control: &Control, message: &ToEntry) {
-    let message = Encoded::new(message);
+    let message = EncodedFrame::new(message);
     for entry in control.entries.borrow().values().filter(|entry| entry.wanted.get().loads) {
         entry.outgoing.send_encoded(&message);
     }
@@ -88,7 +88,7 @@
 
 /// Offers a version of the configuration to the entry boxes that ask for it themselves, and sends it to the others.
 pub(super) fn spread_configuration(control: &Control, version: Version) {
-    let offer = Encoded::new(&ToEntry::ConfigurationAgreed { version });
+    let offer = EncodedFrame::new(&ToEntry::ConfigurationAgreed { version });
     for entry in control.entries.borrow().values() {
         match entry.configurations.get() {
             Configurations::Offered => entry.outgoing.send_newest(CONFIGURATION_AGREED, &offer),
@@ -113,7 +113,7 @@
     entry.configurations.set(Configurations::Offered);
     let version = control.machine.borrow().version();
     if version > 0 {
-        let offer = Encoded::new(&ToEntry::ConfigurationAgreed { version });
+        let offer = EncodedFrame::new(&ToEntry::ConfigurationAgreed { version });
         entry.outgoing.send_newest(CONFIGURATION_AGREED, &offer);
     }
 }
@@ -135,7 +135,7 @@
 }
 
 async fn serve(control: Rc<Control>, stream: SocketStream) {
-    let outgoing = Outgoing::new(&control.held);
+    let outgoing = SendQueue::new(&control.held);
     let mut sender = Sender::Unknown;
     let on_frame = async |frame: &[u8]| {
         // Entry boxes are many and can wait; other control boxes can't.
@@ -151,7 +151,7 @@
         }
         received(&control, &outgoing, &mut sender, message);
     };
-    let silence = Silence { system: SILENCE_MOST, process: BUSY_MOST };
+    let silence = IdleTimeouts { host: SILENCE_MOST, process: BUSY_MOST };
     let why = frames::drive(&control.timers, &stream, &outgoing, silence, on_frame).await;
     if let Sender::Entry { link, start } = sender {
         control.entries.borrow_mut().remove(&link);
@@ -163,7 +163,7 @@
     }
 }
 
-fn received(control: &Rc<Control>, outgoing: &Outgoing, sender: &mut Sender, message: ToControl) {
+fn received(control: &Rc<Control>, outgoing: &SendQueue, sender: &mut Sender, message: ToControl) {
     match message {
         ToControl::Entry(FromEntry::Hello { name, boot, configuration, known }) => {
             control.entries_told.update(|told| told.max(known));
@@ -240,7 +240,7 @@
 }
 
 /// Takes an entry box in and tells it all that it must know; it has the version `had` of the configuration.
-fn welcome(control: &Control, outgoing: &Outgoing, start: EntryStart, had: Version) -> Sender {
+fn welcome(control: &Control, outgoing: &SendQueue, start: EntryStart, had: Version) -> Sender {
     control.next_link.update(|link| link + 1);
     let link = control.next_link.get();
     Line::new("entry_connected").with("entry", &start.0).with("boot", start.1).info();
@@ -277,7 +277,7 @@
 
 fn from_control(
     control: &Rc<Control>,
-    outgoing: &Outgoing,
+    outgoing: &SendQueue,
     sender: &mut Sender,
     message: BetweenControl,
 ) {
--- a/crates/vaneway-server/src/core/control/memory.rs
+++ b/crates/vaneway-server/src/core/control/memory.rs
@@ -2,7 +2,7 @@
 //! message to arrive.
 //!
 //! These are what grows when others are slower than this box; all else grows with the deployment. What waits for one box has a
-//! bound ([`outgoing`](crate::util::outgoing)); while the disk is behind nothing is added to what it must write
+//! bound ([`send_queue`](crate::util::send_queue)); while the disk is behind nothing is added to what it must write
 //! ([`without_writes`]).
 
 use std::rc::Rc;
@@ -60,11 +60,11 @@
 impl Waiting {
     fn of(control: &Control) -> Self {
         let entries = control.entries.borrow();
-        let entries = entries.values().map(|link| link.outgoing.waiting_bytes()).sum();
+        let entries = entries.values().map(|link| link.outgoing.queued_bytes()).sum();
         Self {
             entries,
-            peers: control.held.waiting() - entries,
-            arriving: control.held.arriving(),
+            peers: control.held.queued() - entries,
+            arriving: control.held.partial(),
             unwritten: control.unwritten.get(),
             log: store::command_bytes(control.node.borrow().log().entries()),
         }
--- a/crates/vaneway-server/src/core/control/mod.rs
+++ b/crates/vaneway-server/src/core/control/mod.rs
@@ -16,7 +16,7 @@
 //! - [`remembered`]: what a control box remembers over a loss of power;
 //! - [`clock`]: the cluster's time;
 //! - [`operations`]: what operators and endpoints ask for, whatever protocol they speak;
-//! - [`protocol`]: what they speak, and [`own`], the product's own;
+//! - [`protocol`]: what they speak, and [`native`], the product's own;
 //! - [`running`]: start and stop.
 
 pub mod capacity;
@@ -28,9 +28,9 @@
 pub mod machine;
 pub mod membership;
 pub mod memory;
+pub mod native;
 pub mod news;
 pub mod operations;
-pub mod own;
 pub mod peers;
 pub mod protocol;
 pub mod remembered;
--- a/crates/vaneway-server/src/core/control/own.rs
+++ b/crates/vaneway-server/src/core/control/native.rs
@@ -38,20 +38,20 @@
 use crate::core::control::state::Control;
 use crate::core::endpoints::link::EndpointRequest;
 use crate::core::usage::Counts;
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 
 /// Where the configuration is put and read.
 const CONFIGURATION: &str = "/v1/configuration";
 
 /// The product's own interface of a control box.
 #[derive(Debug, Clone, Copy)]
-pub struct OwnControl {
+pub struct NativeControl {
     /// The port on which all control boxes offer it; none for that of their other calls.
     pub port: Option<u16>,
 }
 
-impl ControlProtocol for OwnControl {
-    async fn serve(&self, control: Rc<Control>, req: Request<Incoming>) -> Response<CallerBody> {
+impl ControlProtocol for NativeControl {
+    async fn serve(&self, control: Rc<Control>, req: Request<Incoming>) -> Response<ResponseBody> {
         let (head, body) = req.into_parts();
         let Some(body) = read_body(body).await else {
             return failed(StatusCode::BAD_REQUEST, "the body is too long or broke off");
@@ -71,12 +71,12 @@
     }
 }
 
-fn failed(status: StatusCode, message: &str) -> Response<CallerBody> {
+fn failed(status: StatusCode, message: &str) -> Response<ResponseBody> {
     json_response(status, Bytes::from(json!({ "error": message }).to_string()))
 }
 
-impl OwnControl {
-    fn refused(self, control: &Control, refusal: &Refusal) -> Response<CallerBody> {
+impl NativeControl {
+    fn refused(self, control: &Control, refusal: &Refusal) -> Response<ResponseBody> {
         match refusal {
             Refusal::NotLeader { leader } => {
                 let mut response = failed(StatusCode::TEMPORARY_REDIRECT, "another box leads");
@@ -98,7 +98,7 @@
         }
     }
 
-    async fn put(self, control: &Rc<Control>, body: &[u8]) -> Response<CallerBody> {
+    async fn put(self, control: &Rc<Control>, body: &[u8]) -> Response<ResponseBody> {
         let configuration: Configuration = match serde_json::from_slice(body) {
             Ok(configuration) => configuration,
             Err(error) => return failed(StatusCode::BAD_REQUEST, &error.to_string()),
@@ -114,7 +114,7 @@
         }
     }
 
-    fn get(self, control: &Control) -> Response<CallerBody> {
+    fn get(self, control: &Control) -> Response<ResponseBody> {
         match operations::newest_configuration(control) {
             Ok(Some(held)) => json_response(StatusCode::OK, Bytes::from(held.document.clone())),
             Ok(None) => failed(StatusCode::NOT_FOUND, "there is no configuration yet"),
@@ -123,7 +123,7 @@
     }
 }
 
-fn endpoint(control: &Control, body: &[u8]) -> Response<CallerBody> {
+fn endpoint(control: &Control, body: &[u8]) -> Response<ResponseBody> {
     match serde_json::from_slice::<Report>(body) {
         Ok(report) => {
             operations::endpoint_reported(control, &report);
@@ -135,7 +135,7 @@
 
 /// The product's own way to call a cloud.
 #[derive(Debug, Clone, Copy)]
-pub struct OwnCloud;
+pub struct NativeCloud;
 
 fn call(path: &str, body: &Value) -> EndpointRequest {
     Request::builder()
@@ -145,7 +145,7 @@
         .expect("the parts of the request are valid")
 }
 
-impl CloudProtocol for OwnCloud {
+impl CloudProtocol for NativeCloud {
     fn usage_report(&self, holder: &Holder, window: Window, counts: &Counts) -> EndpointRequest {
         let body = json!({
             "window": window, "counts": counts, "holder": holder.name, "fence": holder.fence,
--- a/crates/vaneway-server/src/core/control/peers.rs
+++ b/crates/vaneway-server/src/core/control/peers.rs
@@ -26,12 +26,12 @@
 use crate::core::control::state::Control;
 use crate::util::clock;
 use crate::util::frames;
-use crate::util::frames::Encoded;
-use crate::util::frames::Silence;
+use crate::util::frames::EncodedFrame;
+use crate::util::frames::IdleTimeouts;
 use crate::util::hash;
 use crate::util::logline::Line;
-use crate::util::outgoing::Outgoing;
-use crate::util::outgoing::Topic;
+use crate::util::send_queue::SendQueue;
+use crate::util::send_queue::Topic;
 use crate::util::socket::SocketStream;
 
 /// Time between two looks at which control boxes to be connected with.
@@ -43,7 +43,7 @@
 /// A connection to another control box, opened again whenever it breaks.
 #[derive(Debug, Default)]
 pub struct PeerLink {
-    outgoing: RefCell<Option<Outgoing>>,
+    outgoing: RefCell<Option<SendQueue>>,
     /// Endpoints of which the peer has to hear again.
     pub(super) refreshed: RefCell<BTreeSet<InstanceId>>,
 }
@@ -53,7 +53,7 @@
     let address = control.cluster_address(node);
     let topic = topic(&message);
     if let Some(peer) = control.peers.borrow().get(&address) {
-        peer.send_on(topic, &Encoded::new(&ToControl::Control(message)));
+        peer.send_on(topic, &EncodedFrame::new(&ToControl::Control(message)));
     }
 }
 
@@ -74,18 +74,18 @@
 
 /// Sends a message to every control box that is known.
 pub fn send_to_all(control: &Control, message: BetweenControl) {
-    let message = Encoded::new(&ToControl::Control(message));
+    let message = EncodedFrame::new(&ToControl::Control(message));
     for peer in control.peers.borrow().values() {
         peer.send(&message);
     }
 }
 
 impl PeerLink {
-    fn send(&self, message: &Encoded) {
+    fn send(&self, message: &EncodedFrame) {
         self.send_on(None, message);
     }
 
-    fn send_on(&self, topic: Option<Topic>, message: &Encoded) {
+    fn send_on(&self, topic: Option<Topic>, message: &EncodedFrame) {
         match (&*self.outgoing.borrow(), topic) {
             (Some(outgoing), Some(topic)) => outgoing.send_newest(topic, message),
             (Some(outgoing), None) => outgoing.send_encoded(message),
@@ -135,7 +135,7 @@
 }
 
 async fn run_peer(control: &Rc<Control>, address: SocketAddr, stream: SocketStream) {
-    let outgoing = Outgoing::new(&control.held);
+    let outgoing = SendQueue::new(&control.held);
     let send = |message: BetweenControl| outgoing.send(&ToControl::Control(message));
     send(BetweenControl::Hello { node: control.node.borrow().id() });
     send(ping(control));
@@ -148,7 +148,7 @@
         Some(message) => news::learn_from_control(control, message),
         None => control.unreadable.update(|count| count + 1),
     };
-    let silence = Silence { system: SILENCE_MOST, process: SILENCE_MOST };
+    let silence = IdleTimeouts { host: SILENCE_MOST, process: SILENCE_MOST };
     let why = frames::drive(&control.timers, &stream, &outgoing, silence, on_frame).await;
     if let Some(peer) = control.peers.borrow().get(&address) {
         *peer.outgoing.borrow_mut() = None;
@@ -200,7 +200,7 @@
             let reports: Vec<Report> = reports.collect();
             if !reports.is_empty() {
                 let message = ToControl::Control(BetweenControl::Registry(reports));
-                peer.send(&Encoded::new(&message));
+                peer.send(&EncodedFrame::new(&message));
             }
         }
     }
--- a/crates/vaneway-server/src/core/control/protocol.rs
+++ b/crates/vaneway-server/src/core/control/protocol.rs
@@ -18,7 +18,7 @@
 use crate::core::control::state::Control;
 use crate::core::endpoints::link::EndpointRequest;
 use crate::core::usage::Counts;
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 
 /// Largest body of a call: above the largest configuration that operators send.
 const BODY_BYTES_MOST: usize = 16 << 20;
@@ -35,7 +35,7 @@
         &self,
         control: Rc<Control>,
         req: Request<Incoming>,
-    ) -> impl Future<Output = Response<CallerBody>>;
+    ) -> impl Future<Output = Response<ResponseBody>>;
 }
 
 /// In whose name the cloud is called: one box at a time, under a number that rises with each
--- a/crates/vaneway-server/src/core/control/remembered.rs
+++ b/crates/vaneway-server/src/core/control/remembered.rs
@@ -94,7 +94,7 @@
 
 /// How long remembered endpoints still count; none if they do no more.
 pub(super) fn left(control: &Control) -> Option<Duration> {
-    let left = control.settings.remembered_for.checked_sub(clock::elapsed(control.started));
+    let left = control.settings.restored_retention.checked_sub(clock::elapsed(control.started));
     left.filter(|left| !left.is_zero())
 }
 
@@ -145,6 +145,6 @@
 async fn write(control: &Control, endpoints: Vec<Report>, entries: u32) -> io::Result<()> {
     let record = Record { written: clock::since_epoch(), endpoints, entries };
     let payload = postcard::to_stdvec(&record).map_err(io::Error::other)?;
-    durable_file::replace(&path(control), vaneway_log::record(&payload)).await?;
+    durable_file::replace(&path(control), vaneway_log::encode_record(&payload)).await?;
     Ok(())
 }
--- a/crates/vaneway-server/src/core/control/running.rs
+++ b/crates/vaneway-server/src/core/control/running.rs
@@ -25,8 +25,8 @@
 use crate::core::control::links;
 use crate::core::control::machine::Machine;
 use crate::core::control::memory;
+use crate::core::control::native::NativeControl;
 use crate::core::control::news::PassedOn;
-use crate::core::control::own::OwnControl;
 use crate::core::control::peers;
 use crate::core::control::protocol::CloudProtocol;
 use crate::core::control::protocol::ControlProtocol;
@@ -40,7 +40,7 @@
 use crate::core::control::telling;
 use crate::core::endpoints::upstream::Connections;
 use crate::core::settings::ControlSettings;
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 use crate::util::clock;
 use crate::util::http_server;
 use crate::util::http_server::ConnectionLimits;
@@ -73,12 +73,12 @@
 }
 
 impl<P: ControlProtocol> Handler for Api<P> {
-    async fn handle(self: Rc<Self>, req: Request<Incoming>) -> Response<CallerBody> {
+    async fn handle(self: Rc<Self>, req: Request<Incoming>) -> Response<ResponseBody> {
         self.protocol.serve(Rc::clone(&self.control), req).await
     }
 
     fn limits(&self) -> ConnectionLimits {
-        ConnectionLimits::of_calls(HEADER_BYTES)
+        ConnectionLimits::for_internal_calls(HEADER_BYTES)
     }
 }
 
@@ -131,7 +131,7 @@
         .wrap_err_with(|| format!("failed to listen for endpoints and operators on {listen}"))?;
     let mut servers = vec![server];
     if let Some(listen) = control.settings.operators {
-        let protocol = OwnControl { port: Some(listen.port()) };
+        let protocol = NativeControl { port: Some(listen.port()) };
         let api = Rc::new(Api { control: Rc::clone(&control), protocol });
         let server = http_server::bind(listen, timers, api)
             .wrap_err_with(|| format!("failed to listen for operators on {listen}"))?;
--- a/crates/vaneway-server/src/core/control/state.rs
+++ b/crates/vaneway-server/src/core/control/state.rs
@@ -43,7 +43,7 @@
 use crate::core::settings::ControlSettings;
 use crate::core::usage::UseLedger;
 use crate::util::clock;
-use crate::util::outgoing::HeldBytes;
+use crate::util::send_queue::BufferedBytes;
 use crate::util::timers::Timers;
 use crate::util::turns::Turns;
 
@@ -112,7 +112,7 @@
     /// What endpoints told, here or at other control boxes.
     pub registry: RefCell<Registry>,
     /// What the connections between boxes hold.
-    pub(crate) held: Rc<HeldBytes>,
+    pub(crate) held: Rc<BufferedBytes>,
     /// Connections of entry boxes.
     pub(crate) entries: RefCell<BTreeMap<u64, Rc<EntryLink>>>,
     /// When entry boxes were last connected, by name.
--- a/crates/vaneway-server/src/core/control/telling.rs
+++ b/crates/vaneway-server/src/core/control/telling.rs
@@ -29,7 +29,7 @@
 use crate::core::entry_start::EntryStart;
 use crate::core::limits;
 use crate::util::clock;
-use crate::util::frames::Encoded;
+use crate::util::frames::EncodedFrame;
 
 /// How long an entry box that was lost counts as one that may still take requests.
 const LOST_COUNTED: Duration = Duration::from_secs(8);
@@ -126,11 +126,11 @@
         if loads.is_empty() && !whole {
             continue;
         }
-        let message = Encoded::new(&ToEntry::Loads { whole, loads });
+        let message = EncodedFrame::new(&ToEntry::Loads { whole, loads });
         for link in links_that_want(&control, |wanted| wanted.loads) {
             control.turns.next().await;
             // One that has not taken in the last telling gets the next whole one, not a queue of old ones.
-            if !link.outgoing.is_waiting() {
+            if !link.outgoing.has_queued() {
                 link.outgoing.send_encoded(&message);
             }
         }
@@ -153,7 +153,7 @@
 
 /// Sends a message to all entry boxes that this box tells of loads, one in a turn.
 async fn send_to_those_that_want_loads(control: &Control, message: &ToEntry) {
-    let message = Encoded::new(message);
+    let message = EncodedFrame::new(message);
     for link in links_that_want(control, |wanted| wanted.loads) {
         control.turns.next().await;
         link.outgoing.send_encoded(&message);
--- a/crates/vaneway-server/src/core/endpoints/upstream.rs
+++ b/crates/vaneway-server/src/core/endpoints/upstream.rs
@@ -130,7 +130,7 @@
                 None => self.open(timers, addr, &mut attempt).await?,
             };
             attempt.handle(AttemptEvent::Written);
-            let sent = timers.until(head_by, link.send(req)).await;
+            let sent = timers.timeout_at(head_by, link.send(req)).await;
             match sent {
                 Some(Ok(response)) => {
                     attempt.handle(AttemptEvent::Head);
@@ -192,7 +192,7 @@
         let Answered { response, mut attempt } = self.send(timers, addr, req, false, until).await?;
         let (head, mut body) = response.into_parts();
         let mut held = BytesMut::new();
-        let cause = match timers.until(until, body.read_into(&mut held, limit)).await {
+        let cause = match timers.timeout_at(until, body.read_into(&mut held, limit)).await {
             Some(Ok(true)) => {
                 self.put(addr, body);
                 return Ok((head, held.freeze()));
@@ -210,12 +210,12 @@
         addr: SocketAddr,
         attempt: &mut Attempt,
     ) -> Result<Link, SendError> {
-        let stream = socket::connect_within(timers, addr, CONNECT_WITHIN).await;
+        let stream = socket::connect_timeout(timers, addr, CONNECT_WITHIN).await;
         let stream = stream.map_err(|error| {
             let is_down = error.kind() == ErrorKind::ConnectionRefused;
             SendError { is_down, ..ended(attempt, AttemptEvent::Returned, error) }
         })?;
-        if let Err(error) = stream.fail_when_silent(SILENCE_MOST) {
+        if let Err(error) = stream.set_peer_timeout(SILENCE_MOST) {
             return Err(ended(attempt, AttemptEvent::Returned, error));
         }
         if self.reset_on_close
@@ -251,7 +251,7 @@
     pub async fn put_refused(&self, timers: &Timers, addr: SocketAddr, mut body: LinkBody) {
         let mut held = BytesMut::new();
         let read = body.read_into(&mut held, ERROR_BYTES_MOST);
-        let read = timers.until(clock::now() + END_WITHIN, read).await;
+        let read = timers.timeout_at(clock::now() + END_WITHIN, read).await;
         if matches!(read, Some(Ok(true))) {
             self.put(addr, body);
         }
@@ -393,7 +393,7 @@
     }
     let mut held = BytesMut::new();
     let read = body.read_into(&mut held, ERROR_BYTES_MOST);
-    if let Some(Ok(true)) = timers.until(clock::now() + stall, read).await {
+    if let Some(Ok(true)) = timers.timeout_at(clock::now() + stall, read).await {
         connections.put(addr, body);
     }
     (engine_error(&mut attempt, head, held.freeze()), Stage::Over)
@@ -422,7 +422,7 @@
     C: std::ops::Deref<Target = Connections>,
 {
     let until = clock::now() + reading.stall;
-    let broken = match reading.timers.until(until, reading.events.next()).await {
+    let broken = match reading.timers.timeout_at(until, reading.events.next()).await {
         Some(Some(Ok(event))) if event.data == "[DONE]" => {
             return (finish(*reading).await, Stage::Over);
         }
@@ -447,7 +447,7 @@
     let Reading { connections, timers, addr, body, mut attempt, mut events, .. } = reading;
     let outcome = attempt.handle(AttemptEvent::End).unwrap_or(Outcome::Done);
     let soon = clock::now() + END_WITHIN;
-    let ended = timers.until(soon, events.next()).await;
+    let ended = timers.timeout_at(soon, events.next()).await;
     drop(events);
     if let (Some(None), Some(body)) = (ended, body.into_body()) {
         connections.put(addr, body);
--- a/crates/vaneway-server/src/core/entry.rs
+++ b/crates/vaneway-server/src/core/entry.rs
@@ -481,7 +481,7 @@
             "marks": self.cluster.as_ref().map(Cluster::marks),
             "caller_connections": self.callers.get(),
             "idle_connections": self.connections.idle(),
-            "timers": self.timers.waiting(),
+            "timers": self.timers.pending(),
             "configuration": self.table().map(|table| table.version()),
             "quarantine": self.quarantine.borrow().cases().iter().map(|(fingerprint, case)| json!({
                 "fingerprint": format!("{fingerprint:016x}"),
--- a/crates/vaneway-server/src/core/quarantine.rs
+++ b/crates/vaneway-server/src/core/quarantine.rs
@@ -87,14 +87,14 @@
         return Some("it had said that it leaves");
     }
     for _ in 0..CONFIRM_TRIES {
-        let stream = match socket::connect_within(&entry.timers, address, CONFIRM_WITHIN).await {
+        let stream = match socket::connect_timeout(&entry.timers, address, CONFIRM_WITHIN).await {
             Ok(stream) => stream,
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => return None,
             Err(_) => return Some("its address can't be reached"),
         };
         // Nothing was asked of it, so whatever comes is its end.
         let ends = poll_fn(|cx| stream.poll_recv_ready(cx));
-        if entry.timers.until(clock::now() + LASTS, ends).await.is_none() {
+        if entry.timers.timeout_at(clock::now() + LASTS, ends).await.is_none() {
             return Some("it takes connections");
         }
         entry.timers.sleep(CONFIRM_PAUSE).await;
--- a/crates/vaneway-server/src/core/quotas.rs
+++ b/crates/vaneway-server/src/core/quotas.rs
@@ -116,7 +116,7 @@
         let mut quotas = self.by_organisation.borrow_mut();
         let limited = quotas.get_mut(organisation).filter(|known| known.in_force);
         let Some(OrganisationQuota { quota, .. }) = limited else { return Ok(()) };
-        let view = Line::debug_is_logged().then(|| quota.view(now));
+        let view = Line::debug_enabled().then(|| quota.view(now));
         // Not by the id alone: its hash also chooses the time to come back.
         let charged = quota.take(now, units, hash::fraction((request, organisation)));
         if let Some(view) = view {
--- a/crates/vaneway-server/src/core/running.rs
+++ b/crates/vaneway-server/src/core/running.rs
@@ -9,7 +9,7 @@
 use vaneway_route::Pool;
 
 use crate::core::callers::front;
-use crate::core::callers::own::OwnCallers;
+use crate::core::callers::native::NativeCallers;
 use crate::core::callers::protocol::CallerProtocol;
 use crate::core::callers::ready;
 use crate::core::calls::claims;
@@ -51,7 +51,7 @@
 ///
 /// If one of its addresses can't be bound.
 pub async fn spawn(settings: Settings) -> eyre::Result<RunningEntry> {
-    spawn_with(settings, OwnCallers).await
+    spawn_with(settings, NativeCallers).await
 }
 
 /// Starts an entry on the current loop, with an interface for callers.
@@ -187,12 +187,12 @@
     pub async fn stop(self) -> usize {
         let Self { entry, front, ready, background, .. } = self;
         entry.enter_phase(Phase::Unready);
-        entry.timers.sleep(entry.settings.stop.accept).await;
+        entry.timers.sleep(entry.settings.stop.accept_grace).await;
         entry.enter_phase(Phase::Finishing);
         front.finish();
-        let until = clock::now() + entry.settings.stop.finish;
+        let until = clock::now() + entry.settings.stop.drain_timeout;
         let empty = std::future::poll_fn(|cx| entry.open.poll_empty(cx));
-        entry.timers.until(until, empty).await;
+        entry.timers.timeout_at(until, empty).await;
         let cut_off = entry.open.len();
         let until = clock::now() + CLOSE_WITHIN;
         let busy = || entry.callers.get() + entry.claims.as_ref().map_or(0, Claims::held) > 0;
--- a/crates/vaneway-server/src/core/settings/mod.rs
+++ b/crates/vaneway-server/src/core/settings/mod.rs
@@ -117,7 +117,8 @@
     /// Entries of the agreement's log after which a snapshot takes their place.
     pub snapshot_entries: u64,
     /// How long after its start a control box names endpoints that only its disk remembers.
-    pub remembered_for: Duration,
+    #[serde(rename = "remembered_for")]
+    pub restored_retention: Duration,
     /// Length of an accounting window.
     pub window: Duration,
     /// The cloud's interface, if it wants reports.
@@ -180,9 +181,11 @@
     /// Where it answers.
     pub address: SocketAddr,
     /// Time between two looks at the list of boxes.
-    pub list_every: Duration,
+    #[serde(rename = "list_every")]
+    pub list_interval: Duration,
     /// How long one wait for notices lasts.
-    pub notice_wait: Duration,
+    #[serde(rename = "notice_wait")]
+    pub notice_poll_timeout: Duration,
 }
 
 /// How this box talks to the other entry boxes.
@@ -251,9 +254,11 @@
     /// How long a caller is served at most.
     pub deadline: Duration,
     /// How long a request waits for an endpoint.
-    pub patience: Duration,
+    #[serde(rename = "patience")]
+    pub endpoint_wait_timeout: Duration,
     /// Longest silence of an endpoint before an attempt counts as broken.
-    pub stall: Duration,
+    #[serde(rename = "stall")]
+    pub stall_timeout: Duration,
     /// Most attempts before an answer begins.
     pub max_attempts: u32,
     /// Retries allowed for each hundred requests.
@@ -295,16 +300,19 @@
     /// Most requests open at once.
     pub open_requests: usize,
     /// How long a caller may leave its stream unread.
-    pub caller_stall: Duration,
+    #[serde(rename = "caller_stall")]
+    pub caller_stall_timeout: Duration,
 }
 
 /// How the process stops.
 #[derive(Debug, Clone, Serialize)]
 pub struct Stop {
     /// Time between losing readiness and refusing new work.
-    pub accept: Duration,
+    #[serde(rename = "accept")]
+    pub accept_grace: Duration,
     /// Time for open requests to finish after that.
-    pub finish: Duration,
+    #[serde(rename = "finish")]
+    pub drain_timeout: Duration,
 }
 
 impl Settings {
--- a/crates/vaneway-server/src/core/settings/read.rs
+++ b/crates/vaneway-server/src/core/settings/read.rs
@@ -35,7 +35,7 @@
 use crate::util::findings::Fields;
 use crate::util::findings::Finding;
 use crate::util::findings::Findings;
-use crate::util::findings::Place;
+use crate::util::findings::JsonNode;
 
 /// One day in milliseconds, the longest time that a setting may name but for the retention.
 const DAY_MS: u64 = 24 * 60 * 60 * 1_000;
@@ -163,7 +163,7 @@
         findings: vec![Finding { path: "$".to_owned(), message: error.to_string() }],
     })?;
     let findings = Findings::new();
-    let read = Place::root(&value, &findings).object().map(|fields| read(fields, &findings));
+    let read = JsonNode::root(&value, &findings).object().map(|fields| read(fields, &findings));
     match (read, findings.take()) {
         (Some(read), findings) if findings.is_empty() => Ok(read),
         (_, findings) => Err(SettingsError { findings }),
@@ -184,10 +184,11 @@
     let cluster = fields.optional("cluster").and_then(|place| place.object()).map(cluster);
     let follow = fields.optional("control").and_then(|place| place.object()).map(follow);
     let ready = fields.optional("ready").map(|place| address(Some(place)));
-    let peers = fields.items("peers").iter().filter_map(Place::object).map(peer).collect();
+    let peers = fields.items("peers").iter().filter_map(JsonNode::object).map(peer).collect();
     let data_folder = fields.optional("data_folder").and_then(|place| place.text());
     let organisations = fields.items("organisations");
-    let organisations = organisations.iter().filter_map(Place::object).map(organisation).collect();
+    let organisations =
+        organisations.iter().filter_map(JsonNode::object).map(organisation).collect();
     let mut replicas = Vec::new();
     let mut services = Vec::new();
     let services_given =
@@ -239,7 +240,7 @@
         form_group: fields.optional("form_group").and_then(|p| p.flag()).unwrap_or(false),
         data_folder: fields.text("data_folder").into(),
         snapshot_entries: fields.number("snapshot_entries", 1..=1_000_000, 256),
-        remembered_for: millis(&mut fields, "remembered_ms", ANY_TIME, 2_500),
+        restored_retention: millis(&mut fields, "remembered_ms", ANY_TIME, 2_500),
         window: seconds(&mut fields, "usage_window_s", 60.0),
         cloud: fields.optional("cloud").and_then(|place| place.object()).map(cloud),
         capacity: capacity(fields.section("capacity")),
@@ -340,7 +341,7 @@
 }
 
 fn texts(fields: &mut Fields<'_>, name: &'static str) -> Vec<String> {
-    fields.items(name).iter().filter_map(Place::text).collect()
+    fields.items(name).iter().filter_map(JsonNode::text).collect()
 }
 
 fn millis(
@@ -353,14 +354,14 @@
 }
 
 /// An address; the unspecified one stands in after a finding.
-fn address(place: Option<Place<'_>>) -> SocketAddr {
+fn address(place: Option<JsonNode<'_>>) -> SocketAddr {
     let wanted = "an IP address and port such as `127.0.0.1:8080`";
     place
         .and_then(|place| place.parsed(wanted, |text| text.parse().ok()))
         .unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)))
 }
 
-fn zone(place: Option<Place<'_>>, known: &[String]) -> String {
+fn zone(place: Option<JsonNode<'_>>, known: &[String]) -> String {
     let wanted = format!("one of the availability zones ({})", known.join(", "));
     let known = |text: &str| known.iter().find(|zone| *zone == text).cloned();
     place.and_then(|place| place.parsed(&wanted, known)).unwrap_or_default()
@@ -369,7 +370,7 @@
 fn operators(mut fields: Fields<'_>) -> Operators {
     let listen = address(fields.required("listen"));
     let tokens = fields.items("tokens");
-    let tokens = tokens.iter().filter_map(Place::object).map(|mut fields| {
+    let tokens = tokens.iter().filter_map(JsonNode::object).map(|mut fields| {
         let token = OperatorToken { name: fields.text("name"), token: fields.text("token") };
         fields.finish();
         token
@@ -382,8 +383,8 @@
 fn platform(mut fields: Fields<'_>) -> Platform {
     let platform = Platform {
         address: address(fields.required("address")),
-        list_every: millis(&mut fields, "list_every_ms", SOME_TIME, 1_000),
-        notice_wait: millis(&mut fields, "notice_wait_ms", SOME_TIME, 20_000),
+        list_interval: millis(&mut fields, "list_every_ms", SOME_TIME, 1_000),
+        notice_poll_timeout: millis(&mut fields, "notice_wait_ms", SOME_TIME, 20_000),
     };
     fields.finish();
     platform
@@ -447,7 +448,7 @@
     }
     let non_repeatable = fields.items("non_repeatable");
     let non_repeatable =
-        non_repeatable.iter().filter_map(Place::object).map(non_repeatable_call).collect();
+        non_repeatable.iter().filter_map(JsonNode::object).map(non_repeatable_call).collect();
     let service = Service {
         name,
         kind,
@@ -455,8 +456,8 @@
         non_repeatable,
         not_run_header: fields.optional("not_run_header").and_then(|place| place.text()),
         deadline: millis(&mut fields, "deadline_ms", SOME_TIME, 60_000),
-        patience: millis(&mut fields, "patience_ms", ANY_TIME, 2_000),
-        stall: millis(&mut fields, "stall_ms", SOME_TIME, 10_000),
+        endpoint_wait_timeout: millis(&mut fields, "patience_ms", ANY_TIME, 2_000),
+        stall_timeout: millis(&mut fields, "stall_ms", SOME_TIME, 10_000),
         max_attempts: fields.number("max_attempts", 1..=20, 4) as u32,
         retry_percent: fields.number("retry_percent", 0..=100, 10) as u32,
     };
@@ -519,7 +520,7 @@
         stream_bytes: fields.number("stream_bytes", BYTES, 64 << 10) as usize,
         answer_bytes: fields.number("answer_bytes", BYTES, 1 << 20) as usize,
         open_requests: fields.number("open_requests", 1..=1_000_000, 20_000) as usize,
-        caller_stall: millis(&mut fields, "caller_stall_ms", SOME_TIME, 30_000),
+        caller_stall_timeout: millis(&mut fields, "caller_stall_ms", SOME_TIME, 30_000),
     };
     fields.finish();
     limits
@@ -527,8 +528,8 @@
 
 fn stop(mut fields: Fields<'_>) -> Stop {
     let stop = Stop {
-        accept: millis(&mut fields, "accept_ms", ANY_TIME, 2_000),
-        finish: millis(&mut fields, "finish_ms", ANY_TIME, 120_000),
+        accept_grace: millis(&mut fields, "accept_ms", ANY_TIME, 2_000),
+        drain_timeout: millis(&mut fields, "finish_ms", ANY_TIME, 120_000),
     };
     fields.finish();
     stop
@@ -585,11 +586,11 @@
 /// A planned stop must leave every request the time that it was promised.
 fn check_stop(settings: &Settings, findings: &Findings) {
     for (i, service) in settings.services.iter().enumerate() {
-        if service.deadline > settings.stop.finish {
+        if service.deadline > settings.stop.drain_timeout {
             let message = format!(
                 "longer than `$.stop.finish_ms` ({}), so a planned stop could cut a request off; \
                  shorten it or raise `finish_ms`",
-                settings.stop.finish.as_millis()
+                settings.stop.drain_timeout.as_millis()
             );
             findings.report(format!("$.services[{i}].deadline_ms"), message);
         }
--- a/crates/vaneway-server/src/ops/run.rs
+++ b/crates/vaneway-server/src/ops/run.rs
@@ -9,11 +9,11 @@
 use eyre::bail;
 use serde_json::Value;
 
-use crate::core::callers::own::OwnCallers;
+use crate::core::callers::native::NativeCallers;
 use crate::core::callers::protocol::CallerProtocol;
 use crate::core::control;
-use crate::core::control::own::OwnCloud;
-use crate::core::control::own::OwnControl;
+use crate::core::control::native::NativeCloud;
+use crate::core::control::native::NativeControl;
 use crate::core::control::protocol::CloudProtocol;
 use crate::core::control::protocol::ControlProtocol;
 use crate::core::running;
@@ -56,23 +56,23 @@
 
 /// The product's own protocols.
 #[derive(Debug, Clone, Copy)]
-pub struct OwnProtocols;
+pub struct NativeProtocols;
 
-impl Protocols for OwnProtocols {
-    type Callers = OwnCallers;
-    type Control = OwnControl;
-    type Cloud = OwnCloud;
+impl Protocols for NativeProtocols {
+    type Callers = NativeCallers;
+    type Control = NativeControl;
+    type Cloud = NativeCloud;
 
-    fn callers(&self) -> OwnCallers {
-        OwnCallers
+    fn callers(&self) -> NativeCallers {
+        NativeCallers
     }
 
-    fn control(&self) -> OwnControl {
-        OwnControl { port: None }
+    fn control(&self) -> NativeControl {
+        NativeControl { port: None }
     }
 
-    fn cloud(&self) -> OwnCloud {
-        OwnCloud
+    fn cloud(&self) -> NativeCloud {
+        NativeCloud
     }
 }
 
--- a/crates/vaneway-server/src/util/body.rs
+++ b/crates/vaneway-server/src/util/body.rs
@@ -10,52 +10,52 @@
 use http_body::SizeHint;
 use http_body_util::Full;
 
-use crate::util::outbox::CutOff;
 use crate::util::outbox::OutboxBody;
+use crate::util::outbox::TruncatedBody;
 
 /// The body of a response to a caller: whole at once, or fed by a task.
 #[derive(Debug)]
-pub enum CallerBody {
+pub enum ResponseBody {
     /// Known bytes.
     Full(Full<Bytes>),
     /// Bytes as they come.
-    Fed(OutboxBody),
+    Streamed(OutboxBody),
 }
 
-impl CallerBody {
+impl ResponseBody {
     /// A body of known bytes.
     pub fn full(bytes: Bytes) -> Self {
         Self::Full(Full::new(bytes))
     }
 }
 
-impl Body for CallerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = CutOff;
+    type Error = TruncatedBody;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         match self.get_mut() {
             Self::Full(full) => {
                 Pin::new(full).poll_frame(cx).map(|f| f.map(|r| r.map_err(Into::into)))
             }
-            Self::Fed(fed) => Pin::new(fed).poll_frame(cx),
+            Self::Streamed(fed) => Pin::new(fed).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Full(full) => full.is_end_stream(),
-            Self::Fed(_) => false,
+            Self::Streamed(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Full(full) => full.size_hint(),
-            Self::Fed(_) => SizeHint::default(),
+            Self::Streamed(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/vaneway-server/src/util/findings.rs
+++ b/crates/vaneway-server/src/util/findings.rs
@@ -50,13 +50,13 @@
 
 /// A place in the document.
 #[derive(Debug, Clone)]
-pub struct Place<'a> {
+pub struct JsonNode<'a> {
     path: String,
     value: &'a Value,
     findings: Findings,
 }
 
-impl<'a> Place<'a> {
+impl<'a> JsonNode<'a> {
     /// The root of a document.
     pub fn root(value: &'a Value, findings: &Findings) -> Self {
         Self { path: "$".to_owned(), value, findings: findings.clone() }
@@ -88,12 +88,12 @@
     }
 
     /// The items of an array.
-    pub fn items(&self) -> Vec<Place<'a>> {
+    pub fn items(&self) -> Vec<JsonNode<'a>> {
         let Value::Array(items) = self.value else {
             self.wanted::<()>("an array");
             return Vec::new();
         };
-        let item = |(i, value)| Place {
+        let item = |(i, value)| JsonNode {
             path: format!("{}[{i}]", self.path),
             value,
             findings: self.findings.clone(),
@@ -148,25 +148,25 @@
 /// The fields of an object. Call [`Fields::finish`] at the end to find unknown ones.
 #[derive(Debug)]
 pub struct Fields<'a> {
-    place: Place<'a>,
+    place: JsonNode<'a>,
     map: &'a Map<String, Value>,
     known: Vec<&'static str>,
 }
 
 impl<'a> Fields<'a> {
     /// The object's place.
-    pub fn place(&self) -> &Place<'a> {
+    pub fn place(&self) -> &JsonNode<'a> {
         &self.place
     }
 
     /// A field that may be missing.
-    pub fn optional(&mut self, name: &'static str) -> Option<Place<'a>> {
+    pub fn optional(&mut self, name: &'static str) -> Option<JsonNode<'a>> {
         if !self.known.contains(&name) {
             self.known.push(name);
         }
         let value = self.map.get(name)?;
         let path = format!("{}.{name}", self.place.path);
-        Some(Place { path, value, findings: self.place.findings.clone() })
+        Some(JsonNode { path, value, findings: self.place.findings.clone() })
     }
 
     /// An object that may be missing; then it reads as an empty one, so that each field's default
@@ -182,13 +182,13 @@
         given.unwrap_or_else(|| {
             let path = format!("{}.{name}", self.place.path);
             let findings = self.place.findings.clone();
-            let place = Place { path, value: &EMPTY, findings };
+            let place = JsonNode { path, value: &EMPTY, findings };
             place.object().expect("the empty value is an object")
         })
     }
 
     /// A field that must be there.
-    pub fn required(&mut self, name: &'static str) -> Option<Place<'a>> {
+    pub fn required(&mut self, name: &'static str) -> Option<JsonNode<'a>> {
         let place = self.optional(name);
         if place.is_none() {
             self.place.report(format!("field `{name}` is missing, add it"));
@@ -222,7 +222,7 @@
     }
 
     /// The items of an optional array.
-    pub fn items(&mut self, name: &'static str) -> Vec<Place<'a>> {
+    pub fn items(&mut self, name: &'static str) -> Vec<JsonNode<'a>> {
         self.optional(name).map(|place| place.items()).unwrap_or_default()
     }
 
--- a/crates/vaneway-server/src/util/frames.rs
+++ b/crates/vaneway-server/src/util/frames.rs
@@ -1,7 +1,7 @@
 //! Frames of bytes over a TCP connection between two boxes of the system.
 //!
 //! Why one task for both directions: a box has a handful of such connections, and what arrives on
-//! one mostly leads to something to send on it. [`drive`] writes what was queued in an [`Outgoing`]
+//! one mostly leads to something to send on it. [`drive`] writes what was queued in an [`SendQueue`]
 //! and hands each whole frame that arrives to a function, until the connection ends or the other
 //! side is silent for too long.
 //!
@@ -21,7 +21,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::util::clock;
-use crate::util::outgoing::Outgoing;
+use crate::util::send_queue::SendQueue;
 use crate::util::socket::SocketStream;
 use crate::util::timers::Timers;
 
@@ -36,9 +36,9 @@
 
 /// A message as the frame in which it is sent, to encode it once for several peers.
 #[derive(Debug, Clone)]
-pub struct Encoded(Bytes);
+pub struct EncodedFrame(Bytes);
 
-impl Encoded {
+impl EncodedFrame {
     /// Encodes a message.
     ///
     /// # Panics
@@ -60,9 +60,9 @@
 
 /// How long a connection may be silent.
 #[derive(Debug, Clone, Copy)]
-pub struct Silence {
+pub struct IdleTimeouts {
     /// Of the other side's operating system, which answers also while its process is busy.
-    pub system: Duration,
+    pub host: Duration,
     /// Of the other side's process.
     pub process: Duration,
 }
@@ -73,11 +73,11 @@
 pub async fn drive(
     timers: &Timers,
     stream: &SocketStream,
-    outgoing: &Outgoing,
-    silence: Silence,
+    outgoing: &SendQueue,
+    silence: IdleTimeouts,
     on_frame: impl AsyncFnMut(&[u8]),
 ) -> String {
-    if let Err(error) = stream.fail_when_silent(silence.system) {
+    if let Err(error) = stream.set_peer_timeout(silence.host) {
         log::warn!("event=socket_option_failed error={error:?}");
     }
     let ended = move_frames(timers, stream, outgoing, silence.process, on_frame).await;
@@ -88,7 +88,7 @@
 async fn move_frames(
     timers: &Timers,
     stream: &SocketStream,
-    outgoing: &Outgoing,
+    outgoing: &SendQueue,
     silence: Duration,
     mut on_frame: impl AsyncFnMut(&[u8]),
 ) -> io::Result<()> {
@@ -96,15 +96,17 @@
     let mut drained = false;
     loop {
         let until = clock::now() + silence;
-        let read = timers
-            .until(until, poll_fn(|cx| poll_both(stream, outgoing, (&mut held, &mut drained), cx)));
+        let read = timers.timeout_at(
+            until,
+            poll_fn(|cx| poll_both(stream, outgoing, (&mut held, &mut drained), cx)),
+        );
         match read.await {
             None => return Err(io::ErrorKind::TimedOut.into()),
             Some(Err(error)) => return Err(error),
             Some(Ok(0)) => return Ok(()),
             Some(Ok(_)) => {
                 take_frames(&mut held, &mut on_frame).await?;
-                outgoing.keep_arriving(held.len());
+                outgoing.set_partial(held.len());
             }
         }
     }
@@ -117,7 +119,7 @@
 /// mostly find nothing.
 fn poll_both(
     stream: &SocketStream,
-    outgoing: &Outgoing,
+    outgoing: &SendQueue,
     (held, drained): (&mut BytesMut, &mut bool),
     cx: &mut Context<'_>,
 ) -> Poll<io::Result<usize>> {
--- a/crates/vaneway-server/src/util/http_server.rs
+++ b/crates/vaneway-server/src/util/http_server.rs
@@ -33,9 +33,9 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 use crate::util::clock;
-use crate::util::outbox::CutOff;
+use crate::util::outbox::TruncatedBody;
 use crate::util::socket::SocketListener;
 use crate::util::socket::SocketStream;
 use crate::util::timers::Sleep;
@@ -50,19 +50,19 @@
     /// Most bytes of a request's head.
     pub header_bytes: usize,
     /// How long a head may take from its first byte.
-    pub header_within: Duration,
+    pub header_timeout: Duration,
     /// How long a connection may rest.
-    pub idle_within: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl ConnectionLimits {
     /// Limits for short questions and calls of the deployment's own, with heads of at most
     /// `header_bytes`.
-    pub fn of_calls(header_bytes: usize) -> Self {
+    pub fn for_internal_calls(header_bytes: usize) -> Self {
         /// How long a head may take, and how long a connection may rest.
         const HEAD_WITHIN: Duration = Duration::from_secs(5);
         const IDLE_WITHIN: Duration = Duration::from_secs(30);
-        Self { header_bytes, header_within: HEAD_WITHIN, idle_within: IDLE_WITHIN }
+        Self { header_bytes, header_timeout: HEAD_WITHIN, idle_timeout: IDLE_WITHIN }
     }
 }
 
@@ -72,13 +72,13 @@
     fn handle(
         self: Rc<Self>,
         req: Request<Incoming>,
-    ) -> impl Future<Output = Response<CallerBody>> + 'static;
+    ) -> impl Future<Output = Response<ResponseBody>> + 'static;
 
     /// Limits of a connection that is opened now.
     fn limits(&self) -> ConnectionLimits;
 
     /// Learns that the number of open connections changed, which most handlers need not know.
-    fn connections(&self, _count: usize) {}
+    fn connections_changed(&self, _count: usize) {}
 }
 
 /// A listening address.
@@ -152,7 +152,7 @@
 impl<H: Handler> ConnectionCount<H> {
     fn new(open: Rc<Cell<usize>>, handler: Rc<H>) -> Self {
         open.update(|open| open + 1);
-        handler.connections(open.get());
+        handler.connections_changed(open.get());
         Self { open, handler }
     }
 }
@@ -160,7 +160,7 @@
 impl<H: Handler> Drop for ConnectionCount<H> {
     fn drop(&mut self) {
         self.open.update(|open| open - 1);
-        self.handler.connections(self.open.get());
+        self.handler.connections_changed(self.open.get());
     }
 }
 
@@ -198,18 +198,18 @@
 /// The body of an answer, during which the connection counts as busy.
 #[derive(Debug)]
 struct ServedBody {
-    body: CallerBody,
+    body: ResponseBody,
     _busy: Busy,
 }
 
 impl Body for ServedBody {
     type Data = Bytes;
-    type Error = CutOff;
+    type Error = TruncatedBody;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         Pin::new(&mut self.get_mut().body).poll_frame(cx)
     }
 
@@ -246,7 +246,7 @@
     });
     let connection = http1::Builder::new()
         .timer(CompioTimer)
-        .header_read_timeout(limits.idle_within)
+        .header_read_timeout(limits.idle_timeout)
         .max_buf_size(limits.header_bytes.max(HEADER_BYTES_LEAST))
         .serve_connection(stream, service);
     futures_util::pin_mut!(connection);
@@ -262,7 +262,7 @@
         if let Poll::Ready(served) = connection.as_mut().poll(cx) {
             return Poll::Ready(Some(served));
         }
-        let late = poll_head_limit(&watched, &timers, limits.header_within, &mut head_limit, cx);
+        let late = poll_head_limit(&watched, &timers, limits.header_timeout, &mut head_limit, cx);
         late.map(|()| None)
     });
     match served.await {
--- a/crates/vaneway-server/src/util/log_output.rs
+++ b/crates/vaneway-server/src/util/log_output.rs
@@ -20,16 +20,16 @@
 
 /// Lines of one kind of event in a second: several times what an entry box of the users' aim (17
 /// requests a second each) logs if each of its requests fails with three attempts.
-pub const LINES_A_SECOND: u32 = 200;
+pub const MAX_LINES_PER_SECOND: u32 = 200;
 
 /// Length of the time over which lines are counted.
 const PERIOD: Duration = Duration::from_secs(1);
 
 /// Bytes that may wait for the reader: a second of the most that budgets allow, roughly.
-pub const WAITING_MOST: usize = 256 << 10;
+pub const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
 /// Bytes that a pipe takes without waiting once it says that it can take some (`PIPE_BUF`).
-pub const AT_ONCE: usize = 4_096;
+pub const PIPE_WRITE_BYTES: usize = 4_096;
 
 /// Lines of each kind in the present second.
 #[derive(Debug, Default)]
@@ -44,19 +44,19 @@
     /// Whether it is written.
     pub written: bool,
     /// Kinds of which lines were left out in the second that is over, with how many.
-    pub left_out: Vec<(String, u32)>,
+    pub suppressed: Vec<(String, u32)>,
 }
 
 impl Budgets {
     /// Counts a line of this kind.
     pub fn admit(&mut self, now: Instant, kind: &str) -> Admission {
-        let mut left_out = Vec::new();
+        let mut suppressed = Vec::new();
         if self.since.is_none_or(|since| now.saturating_duration_since(since) >= PERIOD) {
             self.since = Some(now);
             let over = std::mem::take(&mut self.lines).into_iter();
-            left_out.extend(over.filter_map(|(kind, lines)| {
-                let left_out = lines.saturating_sub(LINES_A_SECOND);
-                (left_out > 0).then_some((kind, left_out))
+            suppressed.extend(over.filter_map(|(kind, lines)| {
+                let suppressed = lines.saturating_sub(MAX_LINES_PER_SECOND);
+                (suppressed > 0).then_some((kind, suppressed))
             }));
         }
         let lines = match self.lines.get_mut(kind) {
@@ -64,14 +64,14 @@
             None => self.lines.entry(kind.to_owned()).or_default(),
         };
         *lines += 1;
-        Admission { written: *lines <= LINES_A_SECOND, left_out }
+        Admission { written: *lines <= MAX_LINES_PER_SECOND, suppressed }
     }
 }
 
 /// Something that takes bytes.
 pub trait Sink: Write {
-    /// Whether it takes [`AT_ONCE`] bytes without waiting.
-    fn takes_more(&self) -> bool;
+    /// Whether it takes [`PIPE_WRITE_BYTES`] bytes without waiting.
+    fn is_writable(&self) -> bool;
 }
 
 /// Standard output, without a buffer of its own.
@@ -89,7 +89,7 @@
 }
 
 impl Sink for Stdout {
-    fn takes_more(&self) -> bool {
+    fn is_writable(&self) -> bool {
         let stdout = rustix::stdio::stdout();
         let mut fds = [PollFd::new(&stdout, PollFlags::OUT)];
         let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
@@ -105,7 +105,7 @@
 #[derive(Debug)]
 pub struct Output<S> {
     sink: S,
-    waiting: VecDeque<u8>,
+    buffered: VecDeque<u8>,
     /// Lines dropped since the last one that was kept.
     dropped: u64,
 }
@@ -113,7 +113,7 @@
 impl<S: Sink> Output<S> {
     /// An output with nothing in it.
     pub const fn new(sink: S) -> Self {
-        Self { sink, waiting: VecDeque::new(), dropped: 0 }
+        Self { sink, buffered: VecDeque::new(), dropped: 0 }
     }
 
     /// The sink.
@@ -122,29 +122,29 @@
     }
 
     /// Bytes that wait.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    pub fn buffered(&self) -> usize {
+        self.buffered.len()
     }
 
     fn keep(&mut self, line: &[u8]) {
-        if self.waiting.len() + line.len() > WAITING_MOST {
+        if self.buffered.len() + line.len() > MAX_BUFFERED_BYTES {
             self.dropped += 1;
             return;
         }
         if self.dropped > 0 {
             let dropped = std::mem::take(&mut self.dropped);
             let note = format!("level=warn event=log_lines_dropped count={dropped}\n");
-            self.waiting.extend(note.as_bytes());
+            self.buffered.extend(note.as_bytes());
         }
-        self.waiting.extend(line);
+        self.buffered.extend(line);
     }
 
     fn pass_on(&mut self) -> io::Result<()> {
-        while !self.waiting.is_empty() && self.sink.takes_more() {
-            let (first, _) = self.waiting.as_slices();
-            let piece = &first[..first.len().min(AT_ONCE)];
+        while !self.buffered.is_empty() && self.sink.is_writable() {
+            let (first, _) = self.buffered.as_slices();
+            let piece = &first[..first.len().min(PIPE_WRITE_BYTES)];
             let count = self.sink.write(piece)?;
-            self.waiting.drain(..count);
+            self.buffered.drain(..count);
         }
         Ok(())
     }
--- a/crates/vaneway-server/src/util/logline.rs
+++ b/crates/vaneway-server/src/util/logline.rs
@@ -131,13 +131,13 @@
         self.log(Level::Info);
     }
 
-    /// Logs the line at level `debug`; where many would be made in vain, ask [`Line::debug_is_logged`] first.
+    /// Logs the line at level `debug`; where many would be made in vain, ask [`Line::debug_enabled`] first.
     pub fn debug(self) {
         self.log(Level::Debug);
     }
 
     /// Whether lines at level `debug` are logged.
-    pub fn debug_is_logged() -> bool {
+    pub fn debug_enabled() -> bool {
         log::log_enabled!(Level::Debug)
     }
 
@@ -154,7 +154,7 @@
     fn log(self, level: Level) {
         let now = clock::now();
         let admission = BUDGETS.with_borrow_mut(|budgets| budgets.admit(now, self.kind()));
-        for (kind, count) in admission.left_out {
+        for (kind, count) in admission.suppressed {
             log::warn!("event=log_lines_left_out kind={kind} count={count}");
         }
         if admission.written {
--- a/crates/vaneway-server/src/util/mod.rs
+++ b/crates/vaneway-server/src/util/mod.rs
@@ -11,7 +11,7 @@
 pub mod log_output;
 pub mod logline;
 pub mod outbox;
-pub mod outgoing;
+pub mod send_queue;
 pub mod signals;
 pub mod socket;
 pub mod task;
--- a/crates/vaneway-server/src/util/outbox.rs
+++ b/crates/vaneway-server/src/util/outbox.rs
@@ -30,8 +30,8 @@
 /// How the writer left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum End {
-    Whole,
-    CutOff,
+    Complete,
+    Truncated,
 }
 
 /// The writing end. Dropped without [`Outbox::finish`], it leaves a body that the reader sees cut
@@ -48,17 +48,17 @@
 
 /// The answer was cut off on purpose, so that the caller can tell it from a whole one.
 #[derive(Debug, Clone, Copy)]
-pub struct CutOff;
+pub struct TruncatedBody;
 
-impl std::fmt::Display for CutOff {
+impl std::fmt::Display for TruncatedBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the answer was cut off")
     }
 }
 
-impl std::error::Error for CutOff {}
+impl std::error::Error for TruncatedBody {}
 
-impl From<Infallible> for CutOff {
+impl From<Infallible> for TruncatedBody {
     fn from(never: Infallible) -> Self {
         match never {}
     }
@@ -79,7 +79,7 @@
     }
 
     /// Whether there is room; otherwise the task is woken once there is.
-    pub fn poll_room(&self, cx: &mut Context<'_>) -> Poll<()> {
+    pub fn poll_capacity(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut queue = self.queue.borrow_mut();
         if queue.bytes.len() < self.limit {
             return Poll::Ready(());
@@ -89,7 +89,7 @@
     }
 
     /// Whether the reader is gone; otherwise the task is woken once it is.
-    pub fn poll_gone(&self, cx: &mut Context<'_>) -> Poll<()> {
+    pub fn poll_closed(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut queue = self.queue.borrow_mut();
         if queue.reader_gone {
             return Poll::Ready(());
@@ -100,14 +100,14 @@
 
     /// Ends the body as whole.
     pub fn finish(self) {
-        self.queue.borrow_mut().ended = Some(End::Whole);
+        self.queue.borrow_mut().ended = Some(End::Complete);
     }
 }
 
 impl Drop for Outbox {
     fn drop(&mut self) {
         let mut queue = self.queue.borrow_mut();
-        queue.ended.get_or_insert(End::CutOff);
+        queue.ended.get_or_insert(End::Truncated);
         wake(&mut queue.reader);
     }
 }
@@ -122,12 +122,12 @@
 
 impl Body for OutboxBody {
     type Data = Bytes;
-    type Error = CutOff;
+    type Error = TruncatedBody;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         let mut queue = self.0.borrow_mut();
         if !queue.bytes.is_empty() {
             let bytes = queue.bytes.split().freeze();
@@ -135,8 +135,8 @@
             return Poll::Ready(Some(Ok(Frame::data(bytes))));
         }
         match queue.ended {
-            Some(End::Whole) => Poll::Ready(None),
-            Some(End::CutOff) => Poll::Ready(Some(Err(CutOff))),
+            Some(End::Complete) => Poll::Ready(None),
+            Some(End::Truncated) => Poll::Ready(Some(Err(TruncatedBody))),
             None => {
                 remember(&mut queue.reader, cx);
                 Poll::Pending
--- a/crates/vaneway-server/src/util/outgoing.rs
+++ b/crates/vaneway-server/src/util/send_queue.rs
@@ -5,7 +5,7 @@
 //! boxes is encoded once and shared by their queues; and a box that nevertheless has too much waiting for it is not told less
 //! in silence: its connection is ended, and over the next one it is told all that counts then.
 //!
-//! [`HeldBytes`] knows what the queues of a box hold in sum.
+//! [`BufferedBytes`] knows what the queues of a box hold in sum.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,7 +21,7 @@
 use bytes::BytesMut;
 use serde::Serialize;
 
-use crate::util::frames::Encoded;
+use crate::util::frames::EncodedFrame;
 use crate::util::logline::Line;
 use crate::util::socket::SocketStream;
 
@@ -38,20 +38,20 @@
 
 /// Bytes that the connections of a box hold, in sum.
 #[derive(Debug, Default)]
-pub struct HeldBytes {
-    waiting: Cell<usize>,
-    arriving: Cell<usize>,
+pub struct BufferedBytes {
+    queued: Cell<usize>,
+    partial: Cell<usize>,
 }
 
-impl HeldBytes {
+impl BufferedBytes {
     /// Bytes that wait for peers, without messages with a topic.
-    pub fn waiting(&self) -> usize {
-        self.waiting.get()
+    pub fn queued(&self) -> usize {
+        self.queued.get()
     }
 
     /// Bytes that came of frames that are not whole yet.
-    pub fn arriving(&self) -> usize {
-        self.arriving.get()
+    pub fn partial(&self) -> usize {
+        self.partial.get()
     }
 }
 
@@ -85,25 +85,25 @@
     /// Whether a part of the first chunk was sent, so that the rest must follow.
     begun: bool,
     /// Bytes that wait, without messages with a topic.
-    waiting: usize,
+    queued: usize,
     /// Bytes that came of a frame that is not whole yet.
-    arriving: usize,
+    partial: usize,
     closed: bool,
     waker: Option<Waker>,
-    held: Rc<HeldBytes>,
+    held: Rc<BufferedBytes>,
 }
 
 impl Drop for Queue {
     fn drop(&mut self) {
-        self.held.waiting.update(|sum| sum - self.waiting);
-        self.held.arriving.update(|sum| sum - self.arriving);
+        self.held.queued.update(|sum| sum - self.queued);
+        self.held.partial.update(|sum| sum - self.partial);
     }
 }
 
 impl Queue {
     fn push(&mut self, frame: &Bytes) {
-        self.waiting += frame.len();
-        self.held.waiting.update(|sum| sum + frame.len());
+        self.queued += frame.len();
+        self.held.queued.update(|sum| sum + frame.len());
         match self.chunks.back_mut() {
             _ if frame.len() >= SHARED_FROM => {
                 self.chunks.push_back(Chunk::Shared { frame: frame.clone(), topic: None });
@@ -116,8 +116,8 @@
     /// Puts a frame in the place of the one of its topic that waits, or at the end.
     fn replace(&mut self, topic: Topic, frame: &Bytes) {
         let begun = usize::from(self.begun);
-        let mut waiting = self.chunks.iter_mut().skip(begun);
-        let older = waiting.find(
+        let mut queued = self.chunks.iter_mut().skip(begun);
+        let older = queued.find(
             |chunk| matches!(chunk, Chunk::Shared { topic: Some(held), .. } if *held == topic),
         );
         let newer = Chunk::Shared { frame: frame.clone(), topic: Some(topic) };
@@ -133,8 +133,8 @@
         first.advance(count);
         self.begun = true;
         if !matches!(first, Chunk::Shared { topic: Some(_), .. }) {
-            self.waiting -= count;
-            self.held.waiting.update(|sum| sum - count);
+            self.queued -= count;
+            self.held.queued.update(|sum| sum - count);
         }
         if first.rest().is_empty() {
             self.chunks.pop_front();
@@ -156,16 +156,16 @@
 
 /// Frames on their way to the peer; clones share the queue.
 #[derive(Debug, Clone)]
-pub struct Outgoing(Rc<RefCell<Queue>>);
+pub struct SendQueue(Rc<RefCell<Queue>>);
 
-impl Outgoing {
+impl SendQueue {
     /// An empty queue; what it holds counts in `held`.
-    pub fn new(held: &Rc<HeldBytes>) -> Self {
+    pub fn new(held: &Rc<BufferedBytes>) -> Self {
         Self(Rc::new(RefCell::new(Queue {
             chunks: VecDeque::new(),
             begun: false,
-            waiting: 0,
-            arriving: 0,
+            queued: 0,
+            partial: 0,
             closed: false,
             waker: None,
             held: Rc::clone(held),
@@ -178,20 +178,20 @@
     ///
     /// If the message can't be encoded, which its type decides.
     pub fn send<T: Serialize>(&self, message: &T) {
-        self.send_encoded(&Encoded::new(message));
+        self.send_encoded(&EncodedFrame::new(message));
     }
 
     /// Queues a message that goes to several peers. A peer that has too much waiting for it already loses its connection.
-    pub fn send_encoded(&self, message: &Encoded) {
+    pub fn send_encoded(&self, message: &EncodedFrame) {
         let mut queue = self.0.borrow_mut();
         if queue.closed {
             return;
         }
         let frame = message.frame();
-        if queue.waiting > 0 && queue.waiting + frame.len() > WAITING_BYTES_MOST {
+        if queue.queued > 0 && queue.queued + frame.len() > WAITING_BYTES_MOST {
             Line::new("peer_too_slow")
                 .with("bytes", frame.len())
-                .with("waiting", queue.waiting)
+                .with("waiting", queue.queued)
                 .warn();
             queue.close();
             return;
@@ -201,7 +201,7 @@
     }
 
     /// Queues a message that takes the place of the one of its topic that waits.
-    pub fn send_newest(&self, topic: Topic, message: &Encoded) {
+    pub fn send_newest(&self, topic: Topic, message: &EncodedFrame) {
         let mut queue = self.0.borrow_mut();
         if !queue.closed {
             queue.replace(topic, message.frame());
@@ -210,20 +210,20 @@
     }
 
     /// Whether anything waits for the peer.
-    pub fn is_waiting(&self) -> bool {
+    pub fn has_queued(&self) -> bool {
         !self.0.borrow().chunks.is_empty()
     }
 
     /// Bytes that wait for the peer, without messages with a topic.
-    pub fn waiting_bytes(&self) -> usize {
-        self.0.borrow().waiting
+    pub fn queued_bytes(&self) -> usize {
+        self.0.borrow().queued
     }
 
     /// Takes note of how many bytes of a frame that is not whole are kept.
-    pub(super) fn keep_arriving(&self, bytes: usize) {
+    pub(super) fn set_partial(&self, bytes: usize) {
         let mut queue = self.0.borrow_mut();
-        let before = std::mem::replace(&mut queue.arriving, bytes);
-        queue.held.arriving.update(|sum| sum - before + bytes);
+        let before = std::mem::replace(&mut queue.partial, bytes);
+        queue.held.partial.update(|sum| sum - before + bytes);
     }
 
     /// Ends the connection.
--- a/crates/vaneway-server/src/util/socket.rs
+++ b/crates/vaneway-server/src/util/socket.rs
@@ -137,12 +137,12 @@
 /// # Errors
 ///
 /// The operating system's; `TimedOut` if it took too long.
-pub async fn connect_within(
+pub async fn connect_timeout(
     timers: &Timers,
     addr: SocketAddr,
     within: Duration,
 ) -> io::Result<SocketStream> {
-    let connected = timers.until(clock::now() + within, connect(addr)).await;
+    let connected = timers.timeout_at(clock::now() + within, connect(addr)).await;
     connected
         .unwrap_or_else(|| Err(io::Error::new(io::ErrorKind::TimedOut, "connecting took too long")))
 }
@@ -201,7 +201,7 @@
     /// # Errors
     ///
     /// The operating system's.
-    pub fn fail_when_silent(&self, within: Duration) -> io::Result<()> {
+    pub fn set_peer_timeout(&self, within: Duration) -> io::Result<()> {
         self.fd.set_tcp_user_timeout(Some(within))?;
         let probes = TcpKeepalive::new().with_time(within).with_interval(Duration::from_secs(1));
         self.fd.set_tcp_keepalive(&probes)
--- a/crates/vaneway-server/src/util/timers.rs
+++ b/crates/vaneway-server/src/util/timers.rs
@@ -60,7 +60,7 @@
     }
 
     /// Runs `work` until `at`; none if it was not done by then.
-    pub async fn until<T>(&self, at: Instant, work: impl Future<Output = T>) -> Option<T> {
+    pub async fn timeout_at<T>(&self, at: Instant, work: impl Future<Output = T>) -> Option<T> {
         let work = work.fuse();
         let sleep = self.sleep_until(at).fuse();
         futures_util::pin_mut!(work, sleep);
@@ -71,7 +71,7 @@
     }
 
     /// How many parts wait.
-    pub fn waiting(&self) -> usize {
+    pub fn pending(&self) -> usize {
         self.0.queue.borrow().len()
     }
 }
--- a/crates/vaneway-test-support/src/engine/batch.rs
+++ b/crates/vaneway-test-support/src/engine/batch.rs
@@ -86,13 +86,13 @@
     fn reader_ready(&mut self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
         let Some(reader) = &self.reader else { return false };
-        if reader.poll_gone(&mut cx).is_ready() {
+        if reader.poll_closed(&mut cx).is_ready() {
             self.reader = None;
             self.detached = Some(Instant::now());
             self.running = false;
             return false;
         }
-        reader.poll_room(&mut cx).is_ready()
+        reader.poll_capacity(&mut cx).is_ready()
     }
 
     /// Sends the next token; true if the answer is whole.
--- a/crates/vaneway-test-support/src/engine/mod.rs
+++ b/crates/vaneway-test-support/src/engine/mod.rs
@@ -31,7 +31,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::json;
-use vaneway_server::util::body::CallerBody;
+use vaneway_server::util::body::ResponseBody;
 use vaneway_server::util::outbox::outbox;
 
 use self::batch::Batch;
@@ -233,7 +233,7 @@
     }
 }
 
-async fn handle(local: Rc<Local>, req: Request<Incoming>) -> Response<CallerBody> {
+async fn handle(local: Rc<Local>, req: Request<Incoming>) -> Response<ResponseBody> {
     let path = req.uri().path().to_owned();
     let segments: Vec<_> = path.split('/').skip(1).collect();
     match (req.method(), segments.as_slice()) {
@@ -254,7 +254,7 @@
     }
 }
 
-fn error(status: StatusCode, code: &str) -> Response<CallerBody> {
+fn error(status: StatusCode, code: &str) -> Response<ResponseBody> {
     server::json(status, &json!({ "error": { "code": code, "message": code } }))
 }
 
@@ -262,7 +262,7 @@
     req.headers().get(name).and_then(|value| value.to_str().ok())
 }
 
-async fn complete(local: &Rc<Local>, req: Request<Incoming>, chat: bool) -> Response<CallerBody> {
+async fn complete(local: &Rc<Local>, req: Request<Incoming>, chat: bool) -> Response<ResponseBody> {
     if lock(&local.shared.faults).refusing {
         lock(&local.shared.stats).refused += 1;
         let mut response = error(StatusCode::SERVICE_UNAVAILABLE, "refusing");
@@ -299,7 +299,7 @@
         batch.enter(Sequence::new(id, prompt, priority, tx), &mut stats);
     }
     drop(stats);
-    let mut response = Response::new(CallerBody::Fed(rx));
+    let mut response = Response::new(ResponseBody::Streamed(rx));
     let kind = "text/event-stream".parse().expect("valid header value");
     response.headers_mut().insert("content-type", kind);
     if let Some(limit) = &*lock(&local.shared.limit) {
@@ -309,7 +309,7 @@
     response
 }
 
-fn cancel(local: &Local, id: &str) -> Response<CallerBody> {
+fn cancel(local: &Local, id: &str) -> Response<ResponseBody> {
     let mut stats = lock(&local.shared.stats);
     if local.batch.borrow_mut().cancel(id, &mut stats) {
         return server::json(StatusCode::OK, &json!({}));
@@ -325,7 +325,7 @@
 }
 
 /// Fetches a state from another engine: all of it or nothing.
-async fn import(local: &Rc<Local>, req: Request<Incoming>) -> Response<CallerBody> {
+async fn import(local: &Rc<Local>, req: Request<Incoming>) -> Response<ResponseBody> {
     let body = server::read(req.into_body()).await;
     let Ok(order) = serde_json::from_slice::<ImportOrder>(&body) else {
         return error(StatusCode::BAD_REQUEST, "bad_order");
@@ -344,7 +344,7 @@
     server::json(StatusCode::OK, &json!({ "tokens": tokens }))
 }
 
-fn export(local: &Local, id: &str) -> Response<CallerBody> {
+fn export(local: &Local, id: &str) -> Response<ResponseBody> {
     match local.batch.borrow().export(id) {
         Some(state) => server::json(StatusCode::OK, &state),
         None => error(StatusCode::NOT_FOUND, "no_state"),
@@ -352,7 +352,7 @@
 }
 
 /// An order to load a model, adapter or version, or to change role, under a lease's epoch.
-async fn order(local: &Local, req: Request<Incoming>) -> Response<CallerBody> {
+async fn order(local: &Local, req: Request<Incoming>) -> Response<ResponseBody> {
     let body: Bytes = server::read(req.into_body()).await;
     let Ok(Value::Object(order)) = serde_json::from_slice(&body) else {
         return error(StatusCode::BAD_REQUEST, "bad_order");
--- a/crates/vaneway-test-support/src/naming_control_box.rs
+++ b/crates/vaneway-test-support/src/naming_control_box.rs
@@ -20,7 +20,7 @@
 use vaneway_server::core::cluster::wire::ToEntry;
 use vaneway_server::util::clock;
 use vaneway_server::util::frames;
-use vaneway_server::util::frames::Encoded;
+use vaneway_server::util::frames::EncodedFrame;
 
 use crate::control_group::next_network;
 
@@ -152,6 +152,6 @@
 
     fn send(&mut self, message: &ToEntry) {
         // If the connection has ended, the next read says so.
-        let _sent = self.stream.write_all(Encoded::new(message).frame());
+        let _sent = self.stream.write_all(EncodedFrame::new(message).frame());
     }
 }
--- a/crates/vaneway-test-support/src/plain_service.rs
+++ b/crates/vaneway-test-support/src/plain_service.rs
@@ -13,7 +13,7 @@
 use hyper::StatusCode;
 use hyper::body::Incoming;
 use serde_json::json;
-use vaneway_server::util::body::CallerBody;
+use vaneway_server::util::body::ResponseBody;
 
 use crate::server;
 use crate::standin::Standin;
@@ -90,7 +90,7 @@
     }
 }
 
-async fn handle(state: Arc<Mutex<State>>, req: Request<Incoming>) -> Response<CallerBody> {
+async fn handle(state: Arc<Mutex<State>>, req: Request<Incoming>) -> Response<ResponseBody> {
     let method = req.method().to_string();
     let path = req.uri().to_string();
     let text = |name| req.headers().get(name).and_then(|v| v.to_str().ok()).map(str::to_owned);
@@ -118,7 +118,7 @@
         return server::json(StatusCode::SERVICE_UNAVAILABLE, &json!({ "error": "overloaded" }));
     }
     if let Some(count) = path.strip_prefix("/bytes/").and_then(|count| count.parse().ok()) {
-        let mut response = Response::new(CallerBody::full(Bytes::from(vec![b'x'; count])));
+        let mut response = Response::new(ResponseBody::full(Bytes::from(vec![b'x'; count])));
         let kind = "application/octet-stream".parse().expect("valid header value");
         response.headers_mut().insert("content-type", kind);
         return response;
--- a/crates/vaneway-test-support/src/platform.rs
+++ b/crates/vaneway-test-support/src/platform.rs
@@ -16,7 +16,7 @@
 use hyper::body::Incoming;
 use serde_json::Value;
 use serde_json::json;
-use vaneway_server::util::body::CallerBody;
+use vaneway_server::util::body::ResponseBody;
 
 use crate::server;
 use crate::standin::Standin;
@@ -128,7 +128,7 @@
     }
 }
 
-async fn handle(state: Arc<Mutex<State>>, req: Request<Incoming>) -> Response<CallerBody> {
+async fn handle(state: Arc<Mutex<State>>, req: Request<Incoming>) -> Response<ResponseBody> {
     match (req.method(), req.uri().path()) {
         (&Method::GET, "/v1/boxes") => server::json(StatusCode::OK, &list(&lock(&state))),
         (&Method::GET, "/v1/notices") => notices(&state, &req).await,
@@ -146,7 +146,7 @@
     json!({ "boxes": boxes })
 }
 
-async fn notices(state: &Mutex<State>, req: &Request<Incoming>) -> Response<CallerBody> {
+async fn notices(state: &Mutex<State>, req: &Request<Incoming>) -> Response<ResponseBody> {
     let after = server::parameter(req, "after").unwrap_or_default() as usize;
     let wait = Duration::from_millis(server::parameter(req, "wait_ms").unwrap_or_default());
     let until = Instant::now() + wait;
@@ -167,7 +167,7 @@
     server::json(StatusCode::OK, &json!({ "next": state.notices.len(), "notices": new }))
 }
 
-async fn start(state: &Mutex<State>, req: Request<Incoming>) -> Response<CallerBody> {
+async fn start(state: &Mutex<State>, req: Request<Incoming>) -> Response<ResponseBody> {
     let body: Value =
         serde_json::from_slice(&server::read(req.into_body()).await).unwrap_or_default();
     let mut state = lock(state);
--- a/crates/vaneway-test-support/src/server.rs
+++ b/crates/vaneway-test-support/src/server.rs
@@ -17,7 +17,7 @@
 use hyper::service::service_fn;
 use serde_json::Value;
 use vaneway_server::core::callers::answer::json_response;
-use vaneway_server::util::body::CallerBody;
+use vaneway_server::util::body::ResponseBody;
 use vaneway_server::util::socket;
 use vaneway_server::util::socket::SocketListener;
 
@@ -29,7 +29,7 @@
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + 'static,
-    F: Future<Output = Response<CallerBody>> + 'static,
+    F: Future<Output = Response<ResponseBody>> + 'static,
 {
     let listener = SocketListener::from_std(listener).expect("a listening socket");
     let handler = Rc::new(handler);
@@ -50,7 +50,7 @@
 }
 
 /// A JSON answer.
-pub fn json(status: StatusCode, value: &Value) -> Response<CallerBody> {
+pub fn json(status: StatusCode, value: &Value) -> Response<ResponseBody> {
     json_response(status, Bytes::from(value.to_string()))
 }
 
--- a/crates/vaneway-test-support/src/slow_readers.rs
+++ b/crates/vaneway-test-support/src/slow_readers.rs
@@ -22,7 +22,7 @@
 use vaneway_server::core::cluster::wire::ToControl;
 use vaneway_server::core::cluster::wire::ToEntry;
 use vaneway_server::util::frames;
-use vaneway_server::util::frames::Encoded;
+use vaneway_server::util::frames::EncodedFrame;
 
 /// Time between two reads of a slow reader.
 const READ_EVERY: Duration = Duration::from_millis(20);
@@ -175,7 +175,7 @@
     }
 
     fn send(&mut self, message: FromEntry) {
-        let message = Encoded::new(&ToControl::Entry(message));
+        let message = EncodedFrame::new(&ToControl::Entry(message));
         // If the connection has ended, the next read says so.
         let _sent = self.stream.write_all(message.frame());
     }
--- a/crates/vaneway-test-support/src/weight_store.rs
+++ b/crates/vaneway-test-support/src/weight_store.rs
@@ -11,7 +11,7 @@
 use hyper::StatusCode;
 use hyper::body::Incoming;
 use serde_json::json;
-use vaneway_server::util::body::CallerBody;
+use vaneway_server::util::body::ResponseBody;
 
 use crate::server;
 use crate::standin::Standin;
@@ -43,7 +43,7 @@
     free_at: Arc<Mutex<Instant>>,
     each: Duration,
     req: Request<Incoming>,
-) -> Response<CallerBody> {
+) -> Response<ResponseBody> {
     let Some(name) = req.uri().path().strip_prefix("/v1/weights/").map(str::to_owned) else {
         return server::json(StatusCode::NOT_FOUND, &json!({ "error": "unknown_path" }));
     };
--- a/crates/vaneway-test-support/src/wire_control.rs
+++ b/crates/vaneway-test-support/src/wire_control.rs
@@ -6,7 +6,7 @@
 
 use vaneway_server::core::cluster::wire::BetweenControl;
 use vaneway_server::core::cluster::wire::ToControl;
-use vaneway_server::util::frames::Encoded;
+use vaneway_server::util::frames::EncodedFrame;
 
 /// A node that takes no part in the agreement.
 const NODE: u64 = 1;
@@ -34,7 +34,7 @@
     ///
     /// If the connection has ended.
     pub fn send(&self, message: BetweenControl) {
-        let message = Encoded::new(&ToControl::Control(message));
+        let message = EncodedFrame::new(&ToControl::Control(message));
         (&self.0).write_all(message.frame()).expect("the connection holds");
     }
 }
--- a/crates/vaneway-test-support/src/wire_endpoint.rs
+++ b/crates/vaneway-test-support/src/wire_endpoint.rs
@@ -16,7 +16,7 @@
 use hyper::Response;
 use hyper::StatusCode;
 use hyper::body::Incoming;
-use vaneway_server::util::body::CallerBody;
+use vaneway_server::util::body::ResponseBody;
 use vaneway_server::util::outbox::outbox;
 
 use crate::server;
@@ -75,7 +75,7 @@
 }
 
 impl Says {
-    fn add_to(&self, response: &mut Response<CallerBody>) {
+    fn add_to(&self, response: &mut Response<ResponseBody>) {
         let refused = response.headers().contains_key("x-not-run");
         let words = [
             ("server-limit", self.limit.as_deref()),
@@ -230,7 +230,7 @@
     state: Arc<Mutex<State>>,
     instance: String,
     req: Request<Incoming>,
-) -> Response<CallerBody> {
+) -> Response<ResponseBody> {
     let line = format!("{} {}", req.method(), req.uri());
     let headers: BTreeMap<String, String> = req
         .headers()
@@ -260,7 +260,7 @@
             StatusCode::MISDIRECTED_REQUEST,
             &id,
             &instance,
-            CallerBody::full(Bytes::new()),
+            ResponseBody::full(Bytes::new()),
         );
     }
     match ends_by.as_deref() {
@@ -273,7 +273,7 @@
             .detach();
             let (tx, rx) = outbox(STREAM_BYTES);
             drop(tx);
-            return answer(StatusCode::OK, &id, &instance, CallerBody::Fed(rx));
+            return answer(StatusCode::OK, &id, &instance, ResponseBody::Streamed(rx));
         }
         Some(_) => {
             drop(lock(&state).end.take());
@@ -282,19 +282,19 @@
     }
     let mut response = match behaviour {
         Behaviour::Refuse => {
-            let body = CallerBody::full(Bytes::new());
+            let body = ResponseBody::full(Bytes::new());
             let mut response = answer(StatusCode::SERVICE_UNAVAILABLE, &id, &instance, body);
             response.headers_mut().insert("x-not-run", "1".parse().expect("valid header value"));
             response
         }
         Behaviour::Fail => {
-            answer(StatusCode::INTERNAL_SERVER_ERROR, &id, &instance, CallerBody::full(body))
+            answer(StatusCode::INTERNAL_SERVER_ERROR, &id, &instance, ResponseBody::full(body))
         }
         Behaviour::FailStream => {
             let (tx, rx) = outbox(STREAM_BYTES);
             tx.push(&body);
             tx.finish();
-            answer(StatusCode::INTERNAL_SERVER_ERROR, &id, &instance, CallerBody::Fed(rx))
+            answer(StatusCode::INTERNAL_SERVER_ERROR, &id, &instance, ResponseBody::Streamed(rx))
         }
         Behaviour::EndEarly => {
             let (tx, rx) = outbox(STREAM_BYTES);
@@ -305,15 +305,15 @@
                 drop(tx);
             })
             .detach();
-            answer(StatusCode::OK, &id, &instance, CallerBody::Fed(rx))
+            answer(StatusCode::OK, &id, &instance, ResponseBody::Streamed(rx))
         }
         Behaviour::LoseAnswer => {
             let (tx, rx) = outbox(STREAM_BYTES);
             drop(tx);
-            answer(StatusCode::OK, &id, &instance, CallerBody::Fed(rx))
+            answer(StatusCode::OK, &id, &instance, ResponseBody::Streamed(rx))
         }
         Behaviour::AnswerAnother => {
-            answer(StatusCode::OK, "another", &instance, CallerBody::full(body))
+            answer(StatusCode::OK, "another", &instance, ResponseBody::full(body))
         }
         Behaviour::Answer | Behaviour::BreakAfter(_) | Behaviour::Hang | Behaviour::Steadily
             if streamed =>
@@ -321,7 +321,7 @@
             answer(StatusCode::OK, &id, &instance, stream(behaviour, after))
         }
         Behaviour::Answer | Behaviour::BreakAfter(_) | Behaviour::Hang | Behaviour::Steadily => {
-            answer(StatusCode::OK, &id, &instance, CallerBody::full(body))
+            answer(StatusCode::OK, &id, &instance, ResponseBody::full(body))
         }
     };
     says.add_to(&mut response);
@@ -329,7 +329,7 @@
 }
 
 /// The stream behind `after` of an endpoint that behaves so.
-fn stream(behaviour: Behaviour, after: u32) -> CallerBody {
+fn stream(behaviour: Behaviour, after: u32) -> ResponseBody {
     let (tx, rx) = outbox(STREAM_BYTES);
     match behaviour {
         Behaviour::BreakAfter(last) if after < last => {
@@ -347,7 +347,7 @@
         Behaviour::Hang => {
             tx.push(events(after).split_inclusive("\n\n").next().unwrap_or("").as_bytes());
             compio::runtime::spawn(async move {
-                std::future::poll_fn(|cx| tx.poll_gone(cx)).await;
+                std::future::poll_fn(|cx| tx.poll_closed(cx)).await;
             })
             .detach();
         }
@@ -366,10 +366,15 @@
             tx.finish();
         }
     }
-    CallerBody::Fed(rx)
+    ResponseBody::Streamed(rx)
 }
 
-fn answer(status: StatusCode, id: &str, instance: &str, body: CallerBody) -> Response<CallerBody> {
+fn answer(
+    status: StatusCode,
+    id: &str,
+    instance: &str,
+    body: ResponseBody,
+) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     let headers = response.headers_mut();
--- a/crates/vaneway-test-support/src/wire_entry.rs
+++ b/crates/vaneway-test-support/src/wire_entry.rs
@@ -21,7 +21,7 @@
 use vaneway_server::core::cluster::wire::ToControl;
 use vaneway_server::core::cluster::wire::ToEntry;
 use vaneway_server::util::frames;
-use vaneway_server::util::frames::Encoded;
+use vaneway_server::util::frames::EncodedFrame;
 
 /// Time between two signs of life, and between two looks whether one is due.
 const PING_EVERY: Duration = Duration::from_millis(400);
@@ -132,7 +132,7 @@
 }
 
 fn send(stream: &Mutex<TcpStream>, message: FromEntry) {
-    let message = Encoded::new(&ToControl::Entry(message));
+    let message = EncodedFrame::new(&ToControl::Entry(message));
     // If the connection has ended, the reader finds out.
     let _sent = stream.lock().expect("no writer panicked").write_all(message.frame());
 }
--- a/src/bin/vaneway/commands/run.rs
+++ b/src/bin/vaneway/commands/run.rs
@@ -5,7 +5,7 @@
 use lexopt::ValueExt as _;
 use vaneway_platform::Platform;
 use vaneway_server::ops;
-use vaneway_server::ops::run::OwnProtocols;
+use vaneway_server::ops::run::NativeProtocols;
 use vaneway_server::util::command_line::UsageError;
 
 /// Runs an entry or control box until it is told to stop.
@@ -24,7 +24,7 @@
     }
     let file = file.ok_or_else(|| UsageError("name a settings file".to_owned()))?;
     match adapter.as_deref() {
-        None => ops::run::run(&file, &OwnProtocols)?,
+        None => ops::run::run(&file, &NativeProtocols)?,
         Some("platform") => ops::run::run(&file, &Platform)?,
         Some(other) => return Err(UsageError(format!("no such adapter: `{other}`")).into()),
     }
