--- a/crates/vaneway-claims/src/lib.rs
+++ b/crates/vaneway-claims/src/lib.rs
@@ -158,7 +158,7 @@
     }
 
     /// What a claim would come to now; none if it would be granted.
-    pub fn look(&self, key: &ClaimKey, digest: &Digest) -> Option<Reply> {
+    pub fn lookup(&self, key: &ClaimKey, digest: &Digest) -> Option<Reply> {
         let entry = self.entries.get(key)?;
         if entry.digest != *digest {
             return Some(Reply::OtherRequest);
@@ -203,7 +203,7 @@
     }
 
     fn claim(&mut self, claim: Claim) -> Reply {
-        if let Some(reply) = self.look(&claim.key, &claim.digest) {
+        if let Some(reply) = self.lookup(&claim.key, &claim.digest) {
             return reply;
         }
         let Claim { key, digest, holder, at_ms } = claim;
--- a/crates/vaneway-limit/src/named.rs
+++ b/crates/vaneway-limit/src/named.rs
@@ -6,8 +6,8 @@
 
 use serde::Deserialize;
 use serde::Serialize;
-use vaneway_registry::Born;
 use vaneway_registry::InstanceId;
+use vaneway_registry::StartMillis;
 
 use crate::Rate;
 
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Named {
     /// The incarnation that named it.
-    pub born: Born,
+    pub born: StartMillis,
     /// What it takes.
     pub rate: Rate,
     /// Whether its answers name no limit any more.
@@ -32,7 +32,7 @@
 
 impl Named {
     /// Whether it is of the incarnation `born`, as far as is known.
-    pub fn is_of(&self, born: Born) -> bool {
+    pub fn is_of(&self, born: StartMillis) -> bool {
         self.born == born || self.born == 0 || born == 0
     }
 
@@ -78,7 +78,7 @@
         &mut self,
         now: Time,
         endpoint: &str,
-        born: Born,
+        born: StartMillis,
         rate: Option<Rate>,
     ) -> Option<Named> {
         let known = self.by_endpoint.get(endpoint).filter(|known| known.is_of(born)).copied();
@@ -137,7 +137,7 @@
     }
 
     /// Forgets what no longer matters: of endpoints that are not there, and limits that have ended.
-    pub fn forget(&mut self, now: Time, is_there: impl Fn(&str, Born) -> bool) {
+    pub fn forget(&mut self, now: Time, is_there: impl Fn(&str, StartMillis) -> bool) {
         self.by_endpoint.retain(|endpoint, named| {
             now < named.at + KEPT || (!named.ended && is_there(endpoint, named.born))
         });
--- a/crates/vaneway-quarantine/src/lib.rs
+++ b/crates/vaneway-quarantine/src/lib.rs
@@ -5,8 +5,8 @@
 //! which of the requests that ran there is to blame.
 //!
 //! Data flow: a box tells its [`Quarantine`] under which of its requests an endpoint ended
-//! ([`Quarantine::endpoint_ended`]) and which are answered whole ([`Quarantine::served`]). What others have to know
-//! comes out as [`Finding`]s ([`Quarantine::take_news`]), and what they found goes in by [`Quarantine::merge`].
+//! ([`Quarantine::record_crash`]) and which are answered whole ([`Quarantine::clear`]). What others have to know
+//! comes out as [`QuarantineRecord`]s ([`Quarantine::take_news`]), and what they found goes in by [`Quarantine::merge`].
 //!
 //! The evidence against a request is the set of endpoints that ended under it; one that starts again under its name and ends
 //! again counts again. An end counts unless
@@ -125,7 +125,7 @@
 
 /// What boxes tell each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Finding {
+pub enum QuarantineRecord {
     /// An endpoint has ended.
     EndpointEnded {
         /// The endpoint.
@@ -149,7 +149,7 @@
     }
 }
 
-impl Finding {
+impl QuarantineRecord {
     /// Whether it counts still.
     fn counts(&self, now: Time) -> bool {
         match self {
@@ -170,7 +170,7 @@
     cases: BTreeMap<Fingerprint, Case>,
     /// Endpoints that have ended, and when that was seen first.
     ended: BTreeMap<Incarnation, Time>,
-    news: Vec<Finding>,
+    news: Vec<QuarantineRecord>,
 }
 
 impl Quarantine {
@@ -191,14 +191,14 @@
 
     /// Learns that an endpoint ended under a request of this box, the last of `ends`; the others ended
     /// under it before. Returns what follows for the request.
-    pub fn endpoint_ended(
+    pub fn record_crash(
         &mut self,
         now: Time,
         fingerprint: Fingerprint,
         ends: &[(Incarnation, Progress)],
     ) -> Verdict {
         if let Some((endpoint, _)) = ends.last() {
-            self.found_ended(now, endpoint);
+            self.record_exit(now, endpoint);
         }
         let told =
             Case { ends: ends.iter().cloned().collect(), verdict: Verdict::Suspected, at: now };
@@ -208,16 +208,16 @@
     }
 
     /// Learns that an endpoint has ended, whether or not it ran anything.
-    pub fn found_ended(&mut self, now: Time, endpoint: &Incarnation) {
+    pub fn record_exit(&mut self, now: Time, endpoint: &Incarnation) {
         self.forget(now);
         if self.note_end(endpoint, now) {
-            self.news.push(Finding::EndpointEnded { endpoint: endpoint.clone(), at: now });
+            self.news.push(QuarantineRecord::EndpointEnded { endpoint: endpoint.clone(), at: now });
         }
     }
 
     /// Learns that a request was answered whole and with success, or that an operator releases it; true if it was held for
     /// something.
-    pub fn served(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
+    pub fn clear(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
         let Some(case) = self.cases.get(&fingerprint) else { return false };
         if case.verdict == Verdict::Cleared {
             return false;
@@ -231,28 +231,28 @@
     }
 
     /// Learns what others found, and returns what of it was news here.
-    pub fn merge(&mut self, now: Time, findings: &[Finding]) -> Vec<Finding> {
+    pub fn merge(&mut self, now: Time, findings: &[QuarantineRecord]) -> Vec<QuarantineRecord> {
         self.forget(now);
         let counting = findings.iter().filter(|finding| finding.counts(now));
         let news = counting.filter(|finding| match finding {
-            Finding::EndpointEnded { endpoint, at } => self.note_end(endpoint, *at),
-            Finding::Case { fingerprint, case } => self.add(*fingerprint, case),
+            QuarantineRecord::EndpointEnded { endpoint, at } => self.note_end(endpoint, *at),
+            QuarantineRecord::Case { fingerprint, case } => self.add(*fingerprint, case),
         });
         news.cloned().collect()
     }
 
     /// What this box found since this was last asked.
-    pub fn take_news(&mut self) -> Vec<Finding> {
+    pub fn take_news(&mut self) -> Vec<QuarantineRecord> {
         std::mem::take(&mut self.news)
     }
 
     /// All that counts, for a box that knows nothing.
-    pub fn all(&self, now: Time) -> Vec<Finding> {
-        let ended = self
-            .ended
-            .iter()
-            .map(|(endpoint, at)| Finding::EndpointEnded { endpoint: endpoint.clone(), at: *at });
-        let cases = self.cases.iter().map(|(fingerprint, case)| Finding::Case {
+    pub fn valid_records(&self, now: Time) -> Vec<QuarantineRecord> {
+        let ended = self.ended.iter().map(|(endpoint, at)| QuarantineRecord::EndpointEnded {
+            endpoint: endpoint.clone(),
+            at: *at,
+        });
+        let cases = self.cases.iter().map(|(fingerprint, case)| QuarantineRecord::Case {
             fingerprint: *fingerprint,
             case: case.clone(),
         });
@@ -308,7 +308,7 @@
 
     fn tell(&mut self, fingerprint: Fingerprint) {
         if let Some(case) = self.cases.get(&fingerprint) {
-            self.news.push(Finding::Case { fingerprint, case: case.clone() });
+            self.news.push(QuarantineRecord::Case { fingerprint, case: case.clone() });
         }
     }
 
--- a/crates/vaneway-registry/src/lib.rs
+++ b/crates/vaneway-registry/src/lib.rs
@@ -25,7 +25,7 @@
 pub type InstanceId = String;
 
 /// When an incarnation of an endpoint started, in milliseconds since 1970; 0 if it was not told.
-pub type Born = u64;
+pub type StartMillis = u64;
 
 /// How long an endpoint that is gone is remembered: far longer than a heartbeat can be late.
 const GONE_KEPT: Duration = Duration::from_mins(10);
@@ -37,7 +37,7 @@
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub enum Standing {
+pub enum Lifecycle {
     /// Takes work.
     #[default]
     Ready,
@@ -47,7 +47,7 @@
     Gone,
 }
 
-impl Standing {
+impl Lifecycle {
     /// The standing's name in logs and dumps.
     pub fn name(self) -> &'static str {
         match self {
@@ -80,11 +80,12 @@
     pub instance: InstanceId,
     /// Which incarnation of it.
     #[serde(default)]
-    pub born: Born,
+    pub born: StartMillis,
     /// Number of the heartbeat, which rises; 0 for a report that came with no number.
     pub sequence: u64,
     /// Where it stands.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub lifecycle: Lifecycle,
     /// Milliseconds until it ends, if it told.
     pub ends_in_ms: Option<u64>,
     /// Milliseconds since a box heard of it directly.
@@ -95,17 +96,17 @@
 
 /// What one box knows of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Known {
+pub struct EndpointRecord {
     /// The latest incarnation; all else is of it.
-    pub born: Born,
+    pub born: StartMillis,
     /// Number of the newest heartbeat.
     pub sequence: u64,
     /// Where it stands.
-    pub standing: Standing,
+    pub lifecycle: Lifecycle,
     /// When it ends, if it told.
     pub ends_at: Option<Instant>,
     /// When some box last heard of it directly.
-    pub heard: Instant,
+    pub last_report_at: Instant,
     /// What it says of itself.
     pub details: Option<Details>,
 }
@@ -114,57 +115,57 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
     /// Nothing new.
-    Nothing,
+    Unchanged,
     /// It was heard of again.
     Refreshed,
     /// Something that others must know at once.
-    News,
+    Updated,
 }
 
 /// What one box knows of all endpoints.
 #[derive(Debug, Clone, Default)]
 pub struct Registry {
-    known: BTreeMap<InstanceId, Known>,
+    known: BTreeMap<InstanceId, EndpointRecord>,
 }
 
 impl Registry {
     /// Applies a report.
     pub fn merge(&mut self, now: Instant, report: &Report) -> Change {
-        let heard = now.checked_sub(Duration::from_millis(report.age_ms)).unwrap_or(now);
+        let last_report_at = now.checked_sub(Duration::from_millis(report.age_ms)).unwrap_or(now);
         let ends_at = report.ends_in_ms.map(|left| now + Duration::from_millis(left));
         if let Some(known) = self.known.get_mut(&report.instance)
             && !report.is_reborn(known)
         {
-            return known.merge(report, heard, ends_at);
+            return known.merge(report, last_report_at, ends_at);
         }
-        if now.saturating_duration_since(heard) >= kept(report.standing) {
+        if now.saturating_duration_since(last_report_at) >= kept(report.lifecycle) {
             // It would be forgotten at once, and be news again the next time.
-            return Change::Nothing;
+            return Change::Unchanged;
         }
-        let known = Known {
+        let known = EndpointRecord {
             born: report.born,
             sequence: report.sequence,
-            standing: report.standing,
+            lifecycle: report.lifecycle,
             ends_at,
-            heard,
+            last_report_at,
             details: report.details.clone(),
         };
         self.known.insert(report.instance.clone(), known);
-        Change::News
+        Change::Updated
     }
 
     /// Everything that is known.
-    pub fn iter(&self) -> impl Iterator<Item = (&InstanceId, &Known)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&InstanceId, &EndpointRecord)> {
         self.known.iter()
     }
 
     /// What is known of one endpoint.
-    pub fn get(&self, instance: &str) -> Option<&Known> {
+    pub fn get(&self, instance: &str) -> Option<&EndpointRecord> {
         self.known.get(instance)
     }
 
     /// The incarnation of an endpoint that is known; 0 if none is, or it did not tell.
-    pub fn born(&self, instance: &str) -> Born {
+    pub fn born(&self, instance: &str) -> StartMillis {
         self.known.get(instance).map_or(0, |known| known.born)
     }
 
@@ -190,38 +191,44 @@
 
     /// Forgets what can matter no more.
     pub fn expire(&mut self, now: Instant) {
-        self.known
-            .retain(|_, known| now.saturating_duration_since(known.heard) < kept(known.standing));
+        self.known.retain(|_, known| {
+            now.saturating_duration_since(known.last_report_at) < kept(known.lifecycle)
+        });
     }
 }
 
 /// How long an endpoint is remembered of which nothing is heard.
-fn kept(standing: Standing) -> Duration {
-    match standing {
-        Standing::Ready | Standing::Draining => SILENT_KEPT,
-        Standing::Gone => GONE_KEPT,
+fn kept(lifecycle: Lifecycle) -> Duration {
+    match lifecycle {
+        Lifecycle::Ready | Lifecycle::Draining => SILENT_KEPT,
+        Lifecycle::Gone => GONE_KEPT,
     }
 }
 
 impl Report {
     /// Whether it is of a later incarnation than the one that is known. One that doesn't tell when it was
     /// born is taken for the one that is known.
-    fn is_reborn(&self, known: &Known) -> bool {
+    fn is_reborn(&self, known: &EndpointRecord) -> bool {
         known.born > 0 && self.born > known.born
     }
 }
 
-impl Known {
-    fn merge(&mut self, report: &Report, heard: Instant, ends_at: Option<Instant>) -> Change {
+impl EndpointRecord {
+    fn merge(
+        &mut self,
+        report: &Report,
+        last_report_at: Instant,
+        ends_at: Option<Instant>,
+    ) -> Change {
         if report.born > 0 && report.born < self.born {
-            return Change::Nothing;
+            return Change::Unchanged;
         }
         self.born = self.born.max(report.born);
-        let refreshed = heard > self.heard;
-        self.heard = self.heard.max(heard);
+        let refreshed = last_report_at > self.last_report_at;
+        self.last_report_at = self.last_report_at.max(last_report_at);
         let mut news = false;
-        if report.standing > self.standing {
-            self.standing = report.standing;
+        if report.lifecycle > self.lifecycle {
+            self.lifecycle = report.lifecycle;
             news = true;
         }
         if let Some(at) = ends_at
@@ -237,9 +244,9 @@
             news = true;
         }
         match (news, refreshed) {
-            (true, _) => Change::News,
+            (true, _) => Change::Updated,
             (false, true) => Change::Refreshed,
-            (false, false) => Change::Nothing,
+            (false, false) => Change::Unchanged,
         }
     }
 
@@ -249,9 +256,9 @@
             instance: instance.to_owned(),
             born: self.born,
             sequence: self.sequence,
-            standing: self.standing,
+            lifecycle: self.lifecycle,
             ends_in_ms: left,
-            age_ms: now.saturating_duration_since(self.heard).as_millis() as u64,
+            age_ms: now.saturating_duration_since(self.last_report_at).as_millis() as u64,
             details: self.details.clone(),
         }
     }
--- a/crates/vaneway-relay/src/event.rs
+++ b/crates/vaneway-relay/src/event.rs
@@ -39,7 +39,7 @@
         /// The attempt number given with the action.
         attempt: AttemptId,
         /// Whether the target now holds the stream's whole state.
-        whole: bool,
+        complete: bool,
     },
     /// The endpoint accepted the attempt and its answer began.
     Head {
--- a/crates/vaneway-relay/src/failure.rs
+++ b/crates/vaneway-relay/src/failure.rs
@@ -40,7 +40,8 @@
     /// An attempt ended without an answer and may not be repeated.
     OutcomeUnknown,
     /// Endpoints ended under it, so it may run at no other one.
-    EndsEndpoints,
+    #[serde(rename = "ends_endpoints")]
+    CrashesEndpoints,
 }
 
 impl FailureKind {
@@ -52,7 +53,7 @@
             Self::DeadlineExceeded => "deadline_exceeded",
             Self::AttemptsExhausted => "attempts_exhausted",
             Self::OutcomeUnknown => "outcome_unknown",
-            Self::EndsEndpoints => "ends_endpoints",
+            Self::CrashesEndpoints => "ends_endpoints",
         }
     }
 }
--- a/crates/vaneway-relay/src/lib.rs
+++ b/crates/vaneway-relay/src/lib.rs
@@ -38,15 +38,15 @@
 pub use failure::FailureKind;
 pub use failure::RunState;
 pub use plan::AnswerForm;
-pub use plan::Moves;
-pub use plan::Patience;
+pub use plan::AttemptCounts;
 pub use plan::Plan;
+pub use plan::WaitPolicy;
 pub use relay::Relay;
 pub use request::RequestEvent;
 pub use request::RequestState;
 pub use request::request_chart;
+pub use splice::ChunkDecision;
 pub use splice::Splice;
-pub use splice::Verdict;
 
 /// Number of tokens from the beginning of an answer.
 pub type TokenOffset = u32;
--- a/crates/vaneway-relay/src/plan.rs
+++ b/crates/vaneway-relay/src/plan.rs
@@ -9,13 +9,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerForm {
     /// In one piece: only a whole one is of use.
-    Whole,
+    Buffered,
     /// A stream of tokens whose state can be moved, or computed again from the text so far, so
     /// that going on elsewhere is the same run.
-    Tokens,
+    TokenStream,
     /// A stream of numbered events. Going on elsewhere is another run, for which the caller's
     /// request is sent again with the number of the last event.
-    Events {
+    EventStream {
         /// Whether that is allowed.
         resumable: bool,
     },
@@ -23,14 +23,14 @@
 
 /// When a request whose answer has not begun waits for an endpoint to take work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Patience {
+pub enum WaitPolicy {
     /// Up to this long, whatever is known.
-    Within(Duration),
+    AtMost(Duration),
     /// Only while one is expected to take work again by this time; otherwise the request is refused
     /// at once, since waiting would only delay its caller.
-    Expected {
+    IfExpectedBy {
         /// Latest time at which the wait is still of use.
-        by: Instant,
+        deadline: Instant,
     },
 }
 
@@ -49,7 +49,7 @@
     /// When the caller is given up.
     pub deadline: Instant,
     /// When to wait for an endpoint before the answer begins.
-    pub patience: Patience,
+    pub wait_policy: WaitPolicy,
     /// Estimated tokens of the prompt.
     pub prompt_tokens: u32,
     /// Most tokens of the answer.
@@ -60,7 +60,7 @@
 
 /// How often and at what cost a request moved.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
-pub struct Moves {
+pub struct AttemptCounts {
     /// Attempts made.
     pub attempts: u32,
     /// Attempts that were retries before the answer began.
--- a/crates/vaneway-relay/src/relay.rs
+++ b/crates/vaneway-relay/src/relay.rs
@@ -21,15 +21,15 @@
 
 use crate::Action;
 use crate::AnswerForm;
+use crate::AttemptCounts;
 use crate::AttemptId;
 use crate::Chunk;
+use crate::ChunkDecision;
 use crate::EndpointId;
 use crate::Event;
 use crate::Failure;
 use crate::FailureKind;
-use crate::Moves;
 use crate::Outcome;
-use crate::Patience;
 use crate::Plan;
 use crate::RequestEvent;
 use crate::RequestState;
@@ -37,7 +37,7 @@
 use crate::RunState;
 use crate::Splice;
 use crate::Start;
-use crate::Verdict;
+use crate::WaitPolicy;
 use crate::request::RequestAction;
 use crate::request_chart;
 
@@ -79,7 +79,7 @@
     /// The next attempt goes on from state that its endpoint holds.
     resumable: bool,
     tried: Vec<EndpointId>,
-    moves: Moves,
+    counts: AttemptCounts,
     run: RunState,
     failure: FailureKind,
     pause_until: Option<Instant>,
@@ -105,7 +105,7 @@
             target: None,
             resumable: false,
             tried: Vec::new(),
-            moves: Moves::default(),
+            counts: AttemptCounts::default(),
             run: RunState::NotRun,
             failure: FailureKind::NoEndpoint,
             pause_until: None,
@@ -133,8 +133,8 @@
     }
 
     /// Moves so far.
-    pub fn moves(&self) -> Moves {
-        self.moves
+    pub fn counts(&self) -> AttemptCounts {
+        self.counts
     }
 
     /// Endpoints that attempts went to.
@@ -163,7 +163,9 @@
             Event::Chosen { endpoint } => self.chosen(now, endpoint, out),
             Event::Unavailable { full, until } => self.unavailable(now, full, until, out),
             Event::Woken => self.woken(now, out),
-            Event::Transferred { attempt, whole } => self.transferred(now, attempt, whole, out),
+            Event::Transferred { attempt, complete } => {
+                self.transferred(now, attempt, complete, out)
+            }
             Event::Head { attempt } => self.head(attempt),
             Event::Chunk { attempt, chunk } => self.chunk(now, attempt, chunk, out),
             Event::Ended { attempt, outcome } => self.ended(now, attempt, outcome, budget, out),
@@ -182,7 +184,7 @@
     fn chosen(&mut self, now: Instant, endpoint: EndpointId, out: &mut Vec<Action>) {
         self.target = Some(endpoint);
         self.waiting_since = None;
-        let begun = self.splice.sent() > 0;
+        let begun = self.splice.sent_tokens() > 0;
         match self.source {
             Some(source) if begun && source != endpoint => {
                 self.step(now, RequestEvent::ChosenMove, out);
@@ -199,11 +201,11 @@
         out: &mut Vec<Action>,
     ) {
         let since = *self.waiting_since.get_or_insert(now);
-        let in_vain = match self.plan.patience {
-            Patience::Within(longest) => now >= since + longest,
-            Patience::Expected { by } => until.is_none_or(|until| until > by),
+        let in_vain = match self.plan.wait_policy {
+            WaitPolicy::AtMost(longest) => now >= since + longest,
+            WaitPolicy::IfExpectedBy { deadline } => until.is_none_or(|until| until > deadline),
         };
-        if !self.splice.opened() && in_vain {
+        if !self.splice.has_sent() && in_vain {
             self.failure = if full { FailureKind::Overloaded } else { FailureKind::NoEndpoint };
             self.step(now, RequestEvent::Hopeless, out);
             return;
@@ -229,15 +231,15 @@
         &mut self,
         now: Instant,
         attempt: AttemptId,
-        whole: bool,
+        complete: bool,
         out: &mut Vec<Action>,
     ) {
-        if self.state != RequestState::Transferring || attempt != self.moves.attempts + 1 {
+        if self.state != RequestState::Transferring || attempt != self.counts.attempts + 1 {
             return;
         }
-        self.resumable = whole;
-        if whole {
-            self.moves.transferred += 1;
+        self.resumable = complete;
+        if complete {
+            self.counts.transferred += 1;
         }
         self.step(now, RequestEvent::Transferred, out);
     }
@@ -256,12 +258,12 @@
         self.first_chunk.get_or_insert(now);
         self.run = RunState::Ran;
         match self.splice.push(chunk) {
-            Verdict::Emit(chunk) => {
+            ChunkDecision::Emit(chunk) => {
                 self.fruitless = 0;
                 out.push(Action::Emit { chunk });
             }
-            Verdict::Drop => {}
-            Verdict::Gap => {
+            ChunkDecision::Drop => {}
+            ChunkDecision::Gap => {
                 out.push(Action::Detach { attempt });
                 self.current = None;
                 self.resumable = false;
@@ -287,7 +289,7 @@
             self.step(now, RequestEvent::Finished, out);
             return;
         }
-        if self.splice.opened() && self.plan.form == AnswerForm::Tokens {
+        if self.splice.has_sent() && self.plan.form == AnswerForm::TokenStream {
             // Only an attempt that was running leaves state behind to fetch.
             self.source = current.accepted.then_some(current.endpoint);
             self.resumable = false;
@@ -299,7 +301,7 @@
     }
 
     fn condemned(&mut self, now: Instant, out: &mut Vec<Action>) {
-        self.failure = FailureKind::EndsEndpoints;
+        self.failure = FailureKind::CrashesEndpoints;
         if let Some(Current { attempt, .. }) = self.give_up() {
             out.push(Action::Detach { attempt });
         }
@@ -317,7 +319,7 @@
         budget: &mut RetryBudget,
         out: &mut Vec<Action>,
     ) {
-        if self.splice.opened() {
+        if self.splice.has_sent() {
             // The caller has a part of a stream, so this answer is of no use to it.
             self.ended(now, attempt, Outcome::Refused, budget, out);
         } else if self.current.is_some_and(|current| current.attempt == attempt) {
@@ -328,11 +330,11 @@
 
     /// Whether the caller has all of the answer when an attempt ends with `outcome`.
     fn is_whole(&self, outcome: Outcome) -> bool {
-        if self.plan.form != AnswerForm::Tokens {
+        if self.plan.form != AnswerForm::TokenStream {
             return outcome == Outcome::Done;
         }
         let usage_missing = self.plan.wants_usage && outcome != Outcome::Done;
-        self.splice.finished() && !usage_missing
+        self.splice.is_finished() && !usage_missing
     }
 
     /// Goes on with a stream of which the caller has a part. Not charged to the retry budget:
@@ -359,7 +361,7 @@
         }
         if unknown && !self.may_run_again() {
             self.failure = FailureKind::OutcomeUnknown;
-            if !self.splice.opened() {
+            if !self.splice.has_sent() {
                 self.run = RunState::Unknown;
             }
             self.step(now, RequestEvent::LostForGood, out);
@@ -370,7 +372,7 @@
             self.step(now, RequestEvent::LostForGood, out);
             return;
         }
-        self.moves.retries += 1;
+        self.counts.retries += 1;
         let pause = self.backoff();
         self.pause(now, pause, out);
     }
@@ -378,8 +380,8 @@
     /// Whether the request may run once more.
     fn may_run_again(&self) -> bool {
         match self.plan.form {
-            AnswerForm::Events { resumable } if self.splice.opened() => resumable,
-            AnswerForm::Whole | AnswerForm::Tokens | AnswerForm::Events { .. } => {
+            AnswerForm::EventStream { resumable } if self.splice.has_sent() => resumable,
+            AnswerForm::Buffered | AnswerForm::TokenStream | AnswerForm::EventStream { .. } => {
                 self.plan.repeatable
             }
         }
@@ -392,12 +394,12 @@
             self.unsent += 1;
             return self.unsent <= UNSENT_MOST;
         }
-        self.moves.attempts - self.unsent < self.plan.max_attempts && budget.withdraw()
+        self.counts.attempts - self.unsent < self.plan.max_attempts && budget.withdraw()
     }
 
     /// The first retry goes at once to another endpoint, later ones after a growing pause.
     fn backoff(&mut self) -> Duration {
-        let Some(doublings) = self.moves.retries.checked_sub(2) else { return Duration::ZERO };
+        let Some(doublings) = self.counts.retries.checked_sub(2) else { return Duration::ZERO };
         let longest = BACKOFF_FIRST.saturating_mul(1 << doublings.min(10)).min(BACKOFF_MOST);
         longest.mul_f64(self.rng.random_range(0.5..1.0))
     }
@@ -438,14 +440,14 @@
     /// Whether an attempt at a leaving endpoint is better left alone: because it may not be sent
     /// again, or because it will be over in time.
     fn should_stay(&self, now: Instant, current: Current, last_moment: Instant) -> bool {
-        if self.plan.form != AnswerForm::Tokens {
+        if self.plan.form != AnswerForm::TokenStream {
             return true;
         }
-        if !self.splice.opened() && !current.accepted {
+        if !self.splice.has_sent() && !current.accepted {
             return !self.plan.repeatable;
         }
         let Some(first) = self.first_chunk else { return !self.plan.repeatable };
-        let sent = self.splice.sent().max(1);
+        let sent = self.splice.sent_tokens().max(1);
         let for_each = now.saturating_duration_since(first) / sent;
         let left = self.plan.max_tokens.saturating_sub(sent);
         now + for_each.saturating_mul(left) < last_moment
@@ -487,8 +489,13 @@
             RequestAction::Start => self.start(out),
             RequestAction::Transfer => {
                 if let (Some(from), Some(to)) = (self.source, self.target) {
-                    let attempt = self.moves.attempts + 1;
-                    out.push(Action::Transfer { attempt, from, to, tokens: self.splice.sent() });
+                    let attempt = self.counts.attempts + 1;
+                    out.push(Action::Transfer {
+                        attempt,
+                        from,
+                        to,
+                        tokens: self.splice.sent_tokens(),
+                    });
                 }
             }
             RequestAction::Pause => {
@@ -532,7 +539,7 @@
 
     fn start(&mut self, out: &mut Vec<Action>) {
         let Some(endpoint) = self.target.take() else { return };
-        let after = self.splice.sent();
+        let after = self.splice.sent_tokens();
         let resumes = self.resumable || self.source == Some(endpoint);
         let how = match after {
             0 => Start::Fresh,
@@ -540,8 +547,8 @@
             _ => Start::Continue { after },
         };
         self.count(how);
-        self.moves.attempts += 1;
-        let attempt = self.moves.attempts;
+        self.counts.attempts += 1;
+        let attempt = self.counts.attempts;
         if !self.tried.contains(&endpoint) {
             self.tried.push(endpoint);
         }
@@ -558,13 +565,13 @@
     fn count(&mut self, how: Start) {
         match how {
             Start::Fresh if self.run == RunState::Ran => {
-                self.moves.recomputed_tokens += u64::from(self.plan.prompt_tokens);
+                self.counts.recomputed_tokens += u64::from(self.plan.prompt_tokens);
             }
             Start::Fresh => {}
-            Start::Resume { .. } => self.moves.resumed += 1,
+            Start::Resume { .. } => self.counts.resumed += 1,
             Start::Continue { after } => {
-                self.moves.recomputed += 1;
-                self.moves.recomputed_tokens += u64::from(self.plan.prompt_tokens + after);
+                self.counts.recomputed += 1;
+                self.counts.recomputed_tokens += u64::from(self.plan.prompt_tokens + after);
             }
         }
     }
--- a/crates/vaneway-relay/src/splice.rs
+++ b/crates/vaneway-relay/src/splice.rs
@@ -9,7 +9,7 @@
 
 /// What to do with a chunk.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ChunkDecision {
     /// Send it to the caller.
     Emit(Chunk),
     /// The caller has it already.
@@ -22,12 +22,12 @@
 /// What the caller has of the answer.
 #[derive(Debug, Clone, Default)]
 pub struct Splice {
-    sent: TokenOffset,
+    sent_tokens: TokenOffset,
     text: String,
     created: Option<u64>,
     position: TokenOffset,
-    opened: bool,
-    finished: bool,
+    has_sent: bool,
+    is_finished: bool,
     usage_sent: bool,
 }
 
@@ -38,8 +38,8 @@
     }
 
     /// Tokens that the caller has.
-    pub fn sent(&self) -> TokenOffset {
-        self.sent
+    pub fn sent_tokens(&self) -> TokenOffset {
+        self.sent_tokens
     }
 
     /// Text that the caller has.
@@ -48,13 +48,13 @@
     }
 
     /// Whether any chunk was sent.
-    pub fn opened(&self) -> bool {
-        self.opened
+    pub fn has_sent(&self) -> bool {
+        self.has_sent
     }
 
     /// Whether the chunk that says why the answer ended was sent.
-    pub fn finished(&self) -> bool {
-        self.finished
+    pub fn is_finished(&self) -> bool {
+        self.is_finished
     }
 
     /// A new attempt begins after the first `base` tokens.
@@ -63,23 +63,23 @@
     }
 
     /// Judges the next chunk of the current attempt.
-    pub fn push(&mut self, mut chunk: Chunk) -> Verdict {
-        if self.position > self.sent {
-            return Verdict::Gap;
+    pub fn push(&mut self, mut chunk: Chunk) -> ChunkDecision {
+        if self.position > self.sent_tokens {
+            return ChunkDecision::Gap;
         }
         let verdict = if chunk.usage_only {
             Some(!std::mem::replace(&mut self.usage_sent, true))
         } else if chunk.text.is_empty() && !chunk.finishes {
-            Some(!self.opened)
+            Some(!self.has_sent)
         } else {
             self.tokens(&chunk)
         };
         match verdict {
-            None => Verdict::Gap,
-            Some(false) => Verdict::Drop,
+            None => ChunkDecision::Gap,
+            Some(false) => ChunkDecision::Drop,
             Some(true) => {
                 self.emit(&mut chunk);
-                Verdict::Emit(chunk)
+                ChunkDecision::Emit(chunk)
             }
         }
     }
@@ -92,26 +92,26 @@
         if end < start {
             return None;
         }
-        if end > self.sent {
-            if start != self.sent || chunk.text.is_empty() {
+        if end > self.sent_tokens {
+            if start != self.sent_tokens || chunk.text.is_empty() {
                 return None;
             }
-            self.sent = end;
+            self.sent_tokens = end;
             self.text.push_str(&chunk.text);
-            self.finished |= chunk.finishes;
+            self.is_finished |= chunk.finishes;
             return Some(true);
         }
-        if chunk.finishes && end == self.sent && !self.finished {
+        if chunk.finishes && end == self.sent_tokens && !self.is_finished {
             // The tokens of this chunk were sent before, the finish was not: only a chunk
             // without text can be sent now.
-            self.finished = chunk.text.is_empty();
-            return self.finished.then_some(true);
+            self.is_finished = chunk.text.is_empty();
+            return self.is_finished.then_some(true);
         }
         Some(false)
     }
 
     fn emit(&mut self, chunk: &mut Chunk) {
-        self.opened = true;
+        self.has_sent = true;
         match (self.created, chunk.created) {
             (Some(created), Some(_)) => chunk.set_created(created),
             (None, created) => self.created = created,
--- a/crates/vaneway-server/src/core/callers/api_error.rs
+++ b/crates/vaneway-server/src/core/callers/api_error.rs
@@ -81,14 +81,14 @@
                 "the call was sent and its answer was lost; it may not be repeated, so find out \
                  whether it took effect before sending another",
             ),
-            FailureKind::EndsEndpoints => (
+            FailureKind::CrashesEndpoints => (
                 StatusCode::UNPROCESSABLE_ENTITY,
                 "endpoints that ran this request ended under it, so it is run no more; send it in another \
                  form, or ask an operator to release it",
             ),
         };
         let is_final =
-            matches!(failure.kind, FailureKind::OutcomeUnknown | FailureKind::EndsEndpoints);
+            matches!(failure.kind, FailureKind::OutcomeUnknown | FailureKind::CrashesEndpoints);
         let again = failure.run == RunState::NotRun && !is_final;
         let after =
             if failure.kind == FailureKind::NoEndpoint { COME_BACK_SOON } else { COME_BACK };
--- a/crates/vaneway-server/src/core/callers/native.rs
+++ b/crates/vaneway-server/src/core/callers/native.rs
@@ -20,7 +20,7 @@
 use vaneway_claims::ClaimKey;
 use vaneway_claims::Digest;
 use vaneway_relay::AnswerForm;
-use vaneway_relay::Patience;
+use vaneway_relay::WaitPolicy;
 
 use crate::core::callers::answer::Interface;
 use crate::core::callers::answer::json_response;
@@ -214,7 +214,7 @@
     let limits = CallLimits {
         max_attempts: settings.max_attempts,
         deadline: clock::now() + settings.deadline,
-        patience: Patience::Within(settings.endpoint_wait_timeout),
+        wait_policy: WaitPolicy::AtMost(settings.endpoint_wait_timeout),
         head_within: settings.stall_timeout,
         pause_within: settings.stall_timeout,
     };
@@ -228,7 +228,7 @@
         path,
         headers: head.headers,
         body,
-        form: AnswerForm::Whole,
+        form: AnswerForm::Buffered,
         repeatable: !non_repeatable,
         priority: None,
         work: None,
--- a/crates/vaneway-server/src/core/callers/protocol.rs
+++ b/crates/vaneway-server/src/core/callers/protocol.rs
@@ -35,7 +35,7 @@
     /// The key that the caller holds.
     pub key: Option<String>,
     /// How long the caller will wait.
-    pub time_left: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The work, if it is for a model.
     pub work: Option<Work>,
 }
--- a/crates/vaneway-server/src/core/callers/routed.rs
+++ b/crates/vaneway-server/src/core/callers/routed.rs
@@ -15,8 +15,8 @@
 use hyper::StatusCode;
 use hyper::body::Incoming;
 use vaneway_relay::AnswerForm;
-use vaneway_relay::Patience;
 use vaneway_relay::RunState;
+use vaneway_relay::WaitPolicy;
 
 use crate::core::callers::api_error::ApiError;
 use crate::core::callers::native;
@@ -148,7 +148,7 @@
     let units = quota_units(organisation, head.work.as_ref());
     let charged = entry.quotas.charge(entry.cluster_time(), &head.id, name, units);
     charged.map_err(|wait| over_quota(name, wait))?;
-    Ok((request, limits(route, head.time_left, received), units))
+    Ok((request, limits(route, head.timeout, received), units))
 }
 
 fn organisation<'a>(
@@ -184,18 +184,18 @@
 
 fn form(kind: RequestKind) -> AnswerForm {
     match kind {
-        RequestKind::Repeatable | RequestKind::AtMostOnce => AnswerForm::Whole,
-        RequestKind::Stream { resumable } => AnswerForm::Events { resumable },
+        RequestKind::Repeatable | RequestKind::AtMostOnce => AnswerForm::Buffered,
+        RequestKind::Stream { resumable } => AnswerForm::EventStream { resumable },
     }
 }
 
-fn limits(route: &Route, time_left: Option<Duration>, received: Instant) -> CallLimits {
-    let held = time_left.map_or(route.timeout, |left| left.min(route.timeout));
+fn limits(route: &Route, timeout: Option<Duration>, received: Instant) -> CallLimits {
+    let held = timeout.map_or(route.timeout, |left| left.min(route.timeout));
     let pause = route.pause_objective.unwrap_or(held) * PAUSES_MOST;
     CallLimits {
         max_attempts: route.max_attempts.max(1),
         deadline: received + held,
-        patience: Patience::Expected { by: received + route.objective },
+        wait_policy: WaitPolicy::IfExpectedBy { deadline: received + route.objective },
         head_within: held,
         pause_within: pause.max(PAUSE_LEAST),
     }
--- a/crates/vaneway-server/src/core/calls/attempt.rs
+++ b/crates/vaneway-server/src/core/calls/attempt.rs
@@ -46,7 +46,7 @@
 const SILENCE_LOOK_EVERY: Duration = Duration::from_millis(100);
 
 /// What an attempt brings.
-pub(super) enum Item {
+pub(super) enum CallItem {
     /// An event stream began.
     Head(response::Parts),
     /// Its next event.
@@ -77,7 +77,7 @@
     Ended(Progress),
 }
 
-impl Item {
+impl CallItem {
     pub(super) fn ended(outcome: Outcome, cause: impl Into<String>) -> Self {
         Self::Ended { outcome, cause: cause.into(), seen: Seen::Nothing }
     }
@@ -92,7 +92,7 @@
         cause: impl Into<String>,
     ) -> Self {
         let ended = outcome == Outcome::Unknown
-            && quarantine::endpoint_has_ended(entry, request, endpoint).await;
+            && quarantine::endpoint_has_exited(entry, request, endpoint).await;
         let seen = if ended { Seen::Ended(progress) } else { Seen::Nothing };
         Self::Ended { outcome, cause: cause.into(), seen }
     }
@@ -130,7 +130,7 @@
 
 impl<E: EndpointProtocol> Attempt<E> {
     /// What it brings, in order. Dropping it closes the connection unless the answer came to its end.
-    pub(super) fn items(self) -> impl Stream<Item = Item> + use<E> {
+    pub(super) fn items(self) -> impl Stream<Item = CallItem> + use<E> {
         unfold(Stage::Sending(Box::new(self)), |stage| async move {
             match stage {
                 // Boxed, so that its memory is free while the answer is read.
@@ -141,7 +141,7 @@
         })
     }
 
-    async fn send(self: Box<Self>) -> (Item, Stage<E>) {
+    async fn send(self: Box<Self>) -> (CallItem, Stage<E>) {
         let Self { entry, protocol, request, limits, endpoint, occupancy, after } = *self;
         let spec = entry.pool.borrow().get(endpoint).spec.clone();
         let left = limits.deadline.saturating_duration_since(clock::now());
@@ -153,18 +153,18 @@
         let Answered { response, attempt } = match sent {
             Some(Ok(answered)) => answered,
             Some(Err(SendError { outcome, cause, is_down: true })) => {
-                return (Item::Ended { outcome, cause, seen: Seen::Down }, Stage::Over);
+                return (CallItem::Ended { outcome, cause, seen: Seen::Down }, Stage::Over);
             }
             Some(Err(SendError { outcome, cause, is_down: false })) => {
                 return (
-                    Item::broken(&entry, &request, endpoint, Progress::Reading, outcome, cause)
+                    CallItem::broken(&entry, &request, endpoint, Progress::Reading, outcome, cause)
                         .await,
                     Stage::Over,
                 );
             }
             None => {
                 let cause = "other answers of the endpoint or its zone have stopped arriving";
-                return (Item::ended(Outcome::Unknown, cause), Stage::Over);
+                return (CallItem::ended(Outcome::Unknown, cause), Stage::Over);
             }
         };
         let (head, body) = response.into_parts();
@@ -184,7 +184,7 @@
         }
         let item = match verdict {
             Verdict::Answer => {
-                let streamed = matches!(request.form, AnswerForm::Events { .. });
+                let streamed = matches!(request.form, AnswerForm::EventStream { .. });
                 if streamed && head.status.is_success() {
                     let reading = Reading {
                         endpoint,
@@ -197,14 +197,14 @@
                         body,
                         attempt,
                     };
-                    return (Item::Head(head), Stage::Reading(Box::new(reading)));
+                    return (CallItem::Head(head), Stage::Reading(Box::new(reading)));
                 }
                 let response = Response::from_parts(head, body);
                 let failed = response.status().is_server_error() && request.repeatable;
                 let answered = Answered { response, attempt };
                 let read = read_answer(entry, &*protocol, &request, endpoint, answered).await;
                 match read {
-                    Item::Answer(response) if failed => Item::Failed(response),
+                    CallItem::Answer(response) if failed => CallItem::Failed(response),
                     item => item,
                 }
             }
@@ -218,15 +218,15 @@
                 };
                 rests::refused(&entry, &refusal);
                 entry.connections.put_refused(&entry.timers, spec.address, body).await;
-                Item::ended(Outcome::Refused, "the endpoint did not run it")
+                CallItem::ended(Outcome::Refused, "the endpoint did not run it")
             }
-            Verdict::Replaced => Item::Ended {
+            Verdict::Replaced => CallItem::Ended {
                 outcome: Outcome::Refused,
                 cause: "another endpoint has the address".to_owned(),
                 seen: Seen::Replaced,
             },
             Verdict::Foreign => {
-                Item::ended(Outcome::Unknown, "the answer belongs to another request")
+                CallItem::ended(Outcome::Unknown, "the answer belongs to another request")
             }
         };
         (item, Stage::Over)
@@ -258,11 +258,11 @@
     }
 }
 
-async fn next_event<E>(mut reading: Box<Reading>) -> (Item, Stage<E>) {
+async fn next_event<E>(mut reading: Box<Reading>) -> (CallItem, Stage<E>) {
     let broken = loop {
         if let Some(event) = reading.cutter.next_event() {
             reading.occupancy.heard();
-            return (Item::Event(event), Stage::Reading(reading));
+            return (CallItem::Event(event), Stage::Reading(reading));
         }
         let limits = &reading.limits;
         let within =
@@ -280,21 +280,21 @@
     let progress =
         if reading.occupancy.is_arriving() { Progress::Answering } else { Progress::Reading };
     let Reading { entry, request, endpoint, .. } = &*reading;
-    let item = Item::broken(entry, request, *endpoint, progress, outcome, broken).await;
+    let item = CallItem::broken(entry, request, *endpoint, progress, outcome, broken).await;
     (item, Stage::Over)
 }
 
-fn end_of_stream<E>(mut reading: Box<Reading>) -> (Item, Stage<E>) {
+fn end_of_stream<E>(mut reading: Box<Reading>) -> (CallItem, Stage<E>) {
     let rest = std::mem::take(&mut reading.cutter).rest();
     if !rest.is_empty() {
         let event = RawEvent { number: None, bytes: rest };
-        return (Item::Event(event), Stage::Reading(reading));
+        return (CallItem::Event(event), Stage::Reading(reading));
     }
     let Reading { entry, addr, body, mut attempt, mut occupancy, .. } = *reading;
     occupancy.ended();
     let outcome = attempt.handle(AttemptEvent::End).unwrap_or(Outcome::Done);
     entry.connections.put(addr, body);
-    (Item::ended(outcome, ""), Stage::Over)
+    (CallItem::ended(outcome, ""), Stage::Over)
 }
 
 /// Reads an answer whole, or up to the limit and passes the rest on as it comes.
@@ -304,7 +304,7 @@
     request: &CallRequest,
     endpoint: EndpointId,
     answered: Answered,
-) -> Item {
+) -> CallItem {
     let addr = entry.address(endpoint);
     let Answered { response, mut attempt } = answered;
     let (mut head, mut body) = response.into_parts();
@@ -318,12 +318,12 @@
             } else {
                 pass_on(entry, addr, &held, body)
             };
-            Item::Answer(Response::from_parts(head, body))
+            CallItem::Answer(Response::from_parts(head, body))
         }
         Err(error) => {
             let outcome = attempt.handle(AttemptEvent::Broken).unwrap_or(Outcome::Unknown);
             let cause = error.to_string();
-            Item::broken(&entry, request, endpoint, Progress::Reading, outcome, cause).await
+            CallItem::broken(&entry, request, endpoint, Progress::Reading, outcome, cause).await
         }
     }
 }
--- a/crates/vaneway-server/src/core/calls/call.rs
+++ b/crates/vaneway-server/src/core/calls/call.rs
@@ -26,7 +26,7 @@
 use vaneway_quarantine::Incarnation;
 use vaneway_quarantine::Progress;
 use vaneway_quarantine::Verdict;
-use vaneway_registry::Born;
+use vaneway_registry::StartMillis;
 use vaneway_relay::Action;
 use vaneway_relay::AttemptId;
 use vaneway_relay::Chunk;
@@ -34,12 +34,12 @@
 use vaneway_relay::Failure;
 use vaneway_relay::FailureKind;
 use vaneway_relay::Outcome;
-use vaneway_relay::Patience;
 use vaneway_relay::Plan;
 use vaneway_relay::Relay;
 use vaneway_relay::RequestState;
 use vaneway_relay::RunState;
 use vaneway_relay::Start;
+use vaneway_relay::WaitPolicy;
 use vaneway_relay::request_chart;
 use vaneway_route::EndpointEvent;
 use vaneway_route::EndpointId;
@@ -48,7 +48,7 @@
 
 use crate::core::callers::api_error::ApiError;
 use crate::core::calls::attempt::Attempt;
-use crate::core::calls::attempt::Item;
+use crate::core::calls::attempt::CallItem;
 use crate::core::calls::attempt::Seen;
 use crate::core::calls::call_events::CallEvents;
 use crate::core::calls::call_limits::CallLimits;
@@ -60,7 +60,7 @@
 use crate::core::entry::Entry;
 use crate::core::pace;
 use crate::core::quarantine;
-use crate::core::quarantine::Placing;
+use crate::core::quarantine::Placement;
 use crate::util::body::ResponseBody;
 use crate::util::clock;
 use crate::util::logline::Line;
@@ -77,14 +77,14 @@
     request: CallRequest,
     limits: CallLimits,
 ) -> Result<Response<ResponseBody>, ApiError> {
-    let open = entry.open.enter(&request.organisation, &request.service_name);
+    let open = entry.open.insert(&request.organisation, &request.service_name);
     let plan = Plan {
         repeatable: request.repeatable,
         form: request.form,
         wants_usage: false,
         max_attempts: limits.max_attempts,
         deadline: limits.deadline,
-        patience: limits.patience,
+        wait_policy: limits.wait_policy,
         prompt_tokens: 0,
         max_tokens: 0,
         seed: entry.request_seed(open.request().number),
@@ -138,7 +138,7 @@
     /// Whether the endpoint whose answer is passed on ran it with success.
     succeeded: bool,
     /// When the endpoint of its attempt was born, as far as was known when that began.
-    born: Born,
+    born: StartMillis,
     /// Endpoints that ended while they ran it.
     ended_under: Vec<(Incarnation, Progress)>,
     received: Instant,
@@ -181,7 +181,7 @@
         self.relay.handle(clock::now(), event, budget, actions);
     }
 
-    fn poll_event<S: Stream<Item = Item>>(
+    fn poll_event<S: Stream<Item = CallItem>>(
         &mut self,
         cx: &mut Context<'_>,
         running: &mut Option<Running<S>>,
@@ -197,9 +197,10 @@
             return Poll::Pending;
         }
         let item = std::task::ready!(current.items.poll_next_unpin(cx));
-        let item = item.unwrap_or_else(|| Item::ended(Outcome::Unknown, "the attempt ended early"));
+        let item =
+            item.unwrap_or_else(|| CallItem::ended(Outcome::Unknown, "the attempt ended early"));
         let (attempt, endpoint) = (current.attempt, current.endpoint);
-        if !matches!(item, Item::Head(_) | Item::Event(_)) {
+        if !matches!(item, CallItem::Head(_) | CallItem::Event(_)) {
             *running = None;
         }
         Poll::Ready(self.received(attempt, endpoint, item))
@@ -216,15 +217,15 @@
         stalled.poll_unpin(cx)
     }
 
-    fn received(&mut self, attempt: AttemptId, endpoint: EndpointId, item: Item) -> Event {
+    fn received(&mut self, attempt: AttemptId, endpoint: EndpointId, item: CallItem) -> Event {
         match item {
-            Item::Head(mut head) => {
+            CallItem::Head(mut head) => {
                 self.protocol.pass_headers(&mut head.headers);
                 self.succeeded = head.status.is_success();
                 self.reply.begin(head);
                 Event::Head { attempt }
             }
-            Item::Event(RawEvent { number, bytes }) => {
+            CallItem::Event(RawEvent { number, bytes }) => {
                 self.count_begun();
                 let Ok(data) = String::from_utf8(bytes.into()) else {
                     let cause = "an event is not valid UTF-8";
@@ -232,27 +233,27 @@
                 };
                 Event::Chunk { attempt, chunk: Chunk::event(number, data) }
             }
-            Item::Answer(response) => {
+            CallItem::Answer(response) => {
                 self.count_begun();
                 self.succeeded = response.status().is_success();
                 self.entry.report(endpoint, EndpointEvent::Answered);
                 self.count_attempt(Outcome::Done);
-                if self.relay.splice().opened() {
+                if self.relay.splice().has_sent() {
                     return Event::Answered { attempt };
                 }
                 self.reply.answer = Answer::Whole(response);
                 Event::Ended { attempt, outcome: Outcome::Done }
             }
-            Item::Failed(response) => {
+            CallItem::Failed(response) => {
                 let cause = format!("the endpoint answered {}", response.status().as_u16());
                 self.reply.fail(response);
                 // It answers, so it is not lost.
                 self.note_end(attempt, endpoint, Outcome::Unknown, &cause)
             }
-            Item::Ended { outcome, cause, seen } => {
+            CallItem::Ended { outcome, cause, seen } => {
                 let event = self.ended(attempt, endpoint, outcome, &cause);
                 if seen != Seen::Nothing {
-                    quarantine::found_ended(&self.entry, endpoint, &self.incarnation(endpoint));
+                    quarantine::record_exit(&self.entry, endpoint, &self.incarnation(endpoint));
                 }
                 match seen {
                     Seen::Replaced => {
@@ -276,7 +277,7 @@
     /// Counts the end of the endpoint that ran the request against it; whether it may run nowhere else.
     fn is_condemned(&mut self, endpoint: EndpointId, progress: Progress) -> bool {
         self.ended_under.push((self.incarnation(endpoint), progress));
-        let verdict = quarantine::endpoint_ended(&self.entry, &self.request, &self.ended_under);
+        let verdict = quarantine::record_crash(&self.entry, &self.request, &self.ended_under);
         verdict == Verdict::Condemned
     }
 
@@ -316,7 +317,7 @@
                 .with("attempt", attempt)
                 .with("replica", &self.entry.pool.borrow().get(endpoint).spec.name)
                 .with("outcome", outcome.name())
-                .with("events", self.relay.splice().sent())
+                .with("events", self.relay.splice().sent_tokens())
                 .with("after_ms", clock::elapsed(self.received).as_millis())
                 .with("cause", cause)
                 .info();
@@ -338,7 +339,7 @@
     }
 
     /// One attempt, which owns all that it needs.
-    fn start(&self, endpoint: EndpointId, how: Start) -> impl Stream<Item = Item> + use<E> {
+    fn start(&self, endpoint: EndpointId, how: Start) -> impl Stream<Item = CallItem> + use<E> {
         let after = match how {
             Start::Fresh => None,
             Start::Resume { after } | Start::Continue { after } => Some(after),
@@ -372,7 +373,7 @@
             Action::Wake { at } => self.events.wake_at(at),
             Action::Emit { chunk } => {
                 let limit = self.entry.settings.limits.stream_bytes;
-                if self.relay.splice().sent() <= 1 {
+                if self.relay.splice().sent_tokens() <= 1 {
                     let taken = clock::elapsed(self.received).as_secs_f64();
                     self.entry.metrics.first_token.observe(taken);
                 }
@@ -391,10 +392,11 @@
 
     fn choose(&self) -> Event {
         let request = &self.request;
-        let apart = match quarantine::placing(&self.entry, request, !self.ended_under.is_empty()) {
-            Placing::Nowhere => return Event::Condemned,
-            Placing::Apart(fingerprint) => Some(fingerprint),
-            Placing::Anywhere => None,
+        let apart = match quarantine::placement(&self.entry, request, !self.ended_under.is_empty())
+        {
+            Placement::Forbidden => return Event::Condemned,
+            Placement::Isolated(fingerprint) => Some(fingerprint),
+            Placement::Anywhere => None,
         };
         self.entry.choose(Query {
             service: request.service,
@@ -410,11 +412,11 @@
     /// When the first event has to come, for a request that no endpoint has been asked for: what was begun goes on.
     fn pace(&self) -> Option<Pace> {
         let request = &self.request;
-        let Patience::Expected { by } = self.limits.patience else { return None };
+        let WaitPolicy::IfExpectedBy { deadline } = self.limits.wait_policy else { return None };
         if request.work.is_none() || !self.relay.tried().is_empty() {
             return None;
         }
-        pace::pace(&self.entry, request.service, &request.service_name, by)
+        pace::pace(&self.entry, request.service, &request.service_name, deadline)
     }
 
     fn finish(mut self) {
@@ -425,9 +427,9 @@
         self.entry.metrics.requests.with_label_values(&[&self.request.service_name, end]).inc();
         // An error may come from what stands before the endpoint's own work, so it shows no good run.
         if self.relay.state() == RequestState::Complete && self.succeeded {
-            quarantine::request_served(&self.entry, &self.request);
+            quarantine::clear_request(&self.entry, &self.request);
         }
-        let is_condemned = self.failure.is_some_and(|f| f.kind == FailureKind::EndsEndpoints);
+        let is_condemned = self.failure.is_some_and(|f| f.kind == FailureKind::CrashesEndpoints);
         let answer = match std::mem::replace(&mut self.reply.answer, Answer::Nothing) {
             // That it ends endpoints says more than what one of them answered before.
             Answer::Failed(_) if is_condemned => Answer::Nothing,
@@ -450,7 +452,7 @@
             }
             // An answer that has begun is cut off, since its outbox is dropped unfinished.
             (Some(failure), _) => {
-                self.events.log_failure(&self.request.id, failure, self.relay.moves().attempts);
+                self.events.log_failure(&self.request.id, failure, self.relay.counts().attempts);
                 let error = self.told(failure);
                 self.reply.send(Err(error));
             }
--- a/crates/vaneway-server/src/core/calls/call_limits.rs
+++ b/crates/vaneway-server/src/core/calls/call_limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use vaneway_relay::Patience;
+use vaneway_relay::WaitPolicy;
 
 /// Limits of one call.
 #[derive(Debug, Clone, Copy)]
@@ -13,7 +13,7 @@
     /// When the caller is given up.
     pub deadline: Instant,
     /// When it waits for an endpoint.
-    pub patience: Patience,
+    pub wait_policy: WaitPolicy,
     /// Longest wait for an answer to begin, and for the first event of a stream.
     pub head_within: Duration,
     /// Longest pause between two events of a stream.
--- a/crates/vaneway-server/src/core/calls/claims.rs
+++ b/crates/vaneway-server/src/core/calls/claims.rs
@@ -66,7 +66,7 @@
     /// Callers that wait for a call that is under way at this box.
     waiting: RefCell<BTreeMap<ClaimKey, Vec<oneshot::Sender<()>>>>,
     /// Calls whose claim this box holds.
-    held: Cell<usize>,
+    running_calls: Cell<usize>,
     closed: Cell<bool>,
 }
 
@@ -112,7 +112,7 @@
     let shared = Rc::new(Shared {
         ledger: RefCell::new(ledger),
         waiting: RefCell::default(),
-        held: Cell::new(0),
+        running_calls: Cell::new(0),
         closed: Cell::new(false),
     });
     compio::runtime::spawn(write_forever(Rc::clone(&shared), log, settings.snapshot_bytes, rx))
@@ -274,7 +274,7 @@
     /// If the ledger is closed: the call must not be sent.
     pub async fn claim(&self, key: &ClaimKey, digest: Digest) -> Result<Reply, Closed> {
         loop {
-            let known = self.shared.ledger.borrow().look(key, &digest);
+            let known = self.shared.ledger.borrow().lookup(key, &digest);
             match known {
                 Some(Reply::Running) => self.wait_for_end(key).await,
                 Some(reply) => return Ok(reply),
@@ -284,7 +284,7 @@
                     let claim = Claim { key: key.clone(), digest, holder, at_ms };
                     let reply = self.propose(Command::Claim(claim)).await?;
                     if reply == Reply::Granted {
-                        self.shared.held.update(|held| held + 1);
+                        self.shared.running_calls.update(|held| held + 1);
                     }
                     if reply != Reply::Running {
                         return Ok(reply);
@@ -316,7 +316,7 @@
             ClaimEnd::NotRun => Command::Release { key, holder: self.holder },
         };
         let ended = self.propose(command).await;
-        self.shared.held.update(|held| held - 1);
+        self.shared.running_calls.update(|held| held - 1);
         ended.map(|_applied| ())
     }
 
@@ -336,12 +336,12 @@
     }
 
     /// Calls under way whose claim this box holds.
-    pub fn held(&self) -> usize {
-        self.shared.held.get()
+    pub fn running_calls(&self) -> usize {
+        self.shared.running_calls.get()
     }
 
     /// Keys in the ledger.
-    pub fn keys(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.shared.ledger.borrow().len()
     }
 
--- a/crates/vaneway-server/src/core/calls/model_call.rs
+++ b/crates/vaneway-server/src/core/calls/model_call.rs
@@ -38,11 +38,11 @@
 use vaneway_relay::Event;
 use vaneway_relay::Failure;
 use vaneway_relay::Outcome;
-use vaneway_relay::Patience;
 use vaneway_relay::Plan;
 use vaneway_relay::Relay;
 use vaneway_relay::RequestState;
 use vaneway_relay::Start;
+use vaneway_relay::WaitPolicy;
 use vaneway_relay::request_chart;
 use vaneway_route::EndpointEvent;
 use vaneway_route::EndpointId;
@@ -217,15 +217,15 @@
     repeatable: bool,
 ) -> Response<ResponseBody> {
     let service = &entry.settings.services[request.service];
-    let open = entry.open.enter(&organisation.name, &service.name);
+    let open = entry.open.insert(&organisation.name, &service.name);
     let number = open.request().number;
     let plan = Plan {
         repeatable,
-        form: AnswerForm::Tokens,
+        form: AnswerForm::TokenStream,
         wants_usage: request.wants_usage,
         max_attempts: service.max_attempts,
         deadline: clock::now() + service.deadline,
-        patience: Patience::Within(service.endpoint_wait_timeout),
+        wait_policy: WaitPolicy::AtMost(service.endpoint_wait_timeout),
         prompt_tokens: request.prompt_tokens,
         max_tokens: request.max_tokens,
         seed: entry.request_seed(number),
@@ -409,7 +409,7 @@
             .with("attempt", attempt)
             .with("replica", replica.unwrap_or_default())
             .with("outcome", outcome.name())
-            .with("sent_tokens", self.relay.splice().sent())
+            .with("sent_tokens", self.relay.splice().sent_tokens())
             .with("cause", cause)
             .info();
     }
@@ -474,7 +474,7 @@
             .with("attempt", attempt)
             .with("replica", &self.entry.pool.borrow().get(endpoint).spec.name)
             .with("how", kind)
-            .with("sent_tokens", self.relay.splice().sent())
+            .with("sent_tokens", self.relay.splice().sent_tokens())
             .info();
     }
 
@@ -506,7 +506,7 @@
     }
 
     fn count_tokens(&mut self) {
-        let sent = self.relay.splice().sent();
+        let sent = self.relay.splice().sent_tokens();
         let before = std::mem::replace(&mut self.counted, sent);
         if before == 0 && sent > 0 {
             self.entry.metrics.first_token.observe(self.open().age().as_secs_f64());
@@ -534,8 +534,8 @@
         compio::runtime::spawn(async move {
             let until = clock::now() + TRANSFER_WITHIN;
             let to = entry.address(to);
-            let whole = post(&entry, to, "/v1/kv/import", order.to_string(), until).await;
-            open.signal(Event::Transferred { attempt, whole });
+            let complete = post(&entry, to, "/v1/kv/import", order.to_string(), until).await;
+            open.signal(Event::Transferred { attempt, complete });
         })
         .detach();
     }
@@ -568,12 +568,12 @@
                 self.count_end("abandoned");
                 Line::new("caller_gone")
                     .with("request", &self.id)
-                    .with("sent_tokens", self.relay.splice().sent())
+                    .with("sent_tokens", self.relay.splice().sent_tokens())
                     .info();
             }
             _ => {
                 if let Some(failure) = self.failure {
-                    let attempts = self.relay.moves().attempts;
+                    let attempts = self.relay.counts().attempts;
                     self.events.log_failure(&self.id, failure, attempts);
                     self.count_end(failure.kind.code());
                     self.answer.fail(ApiError::failed(failure));
@@ -588,7 +588,7 @@
     }
 
     fn count_moves(&self) {
-        let moves = self.relay.moves();
+        let moves = self.relay.counts();
         let metrics = &self.entry.metrics;
         let kinds = [
             ("resumed", moves.resumed),
--- a/crates/vaneway-server/src/core/calls/open_requests.rs
+++ b/crates/vaneway-server/src/core/calls/open_requests.rs
@@ -80,7 +80,7 @@
     pub fn note(&self, relay: &Relay) {
         self.state.set(relay.state());
         self.endpoint.set(relay.endpoint());
-        self.sent.set(relay.splice().sent());
+        self.sent.set(relay.splice().sent_tokens());
     }
 
     /// How long the request has been open.
@@ -121,7 +121,7 @@
 
 impl OpenRequests {
     /// Enters a request.
-    pub fn enter(&self, organisation: &str, service: &str) -> OpenGuard {
+    pub fn insert(&self, organisation: &str, service: &str) -> OpenGuard {
         let number = self.0.next.get() + 1;
         self.0.next.set(number);
         let request = Rc::new(OpenRequest {
@@ -151,14 +151,14 @@
     }
 
     /// Delivers an event to every open request.
-    pub fn signal_all(&self, event: &Event) {
+    pub fn send_to_all(&self, event: &Event) {
         for request in self.0.open.borrow().values() {
             request.signal(event.clone());
         }
     }
 
     /// Delivers an event to the open requests whose call is one of `which`.
-    pub fn signal_calls(&self, event: &Event, which: impl Fn(&CallRequest) -> bool) {
+    pub fn send_to_matching(&self, event: &Event, which: impl Fn(&CallRequest) -> bool) {
         for request in self.0.open.borrow().values() {
             if request.call.get().is_some_and(|call| which(call)) {
                 request.signal(event.clone());
--- a/crates/vaneway-server/src/core/cluster/follow.rs
+++ b/crates/vaneway-server/src/core/cluster/follow.rs
@@ -21,8 +21,8 @@
 use vaneway_quota::SLOTS_KEPT;
 use vaneway_quota::Sharers;
 use vaneway_registry::InstanceId;
+use vaneway_registry::Lifecycle;
 use vaneway_registry::Report;
-use vaneway_registry::Standing;
 use vaneway_route::Load;
 
 use crate::core::cluster::configuration_source::ConfigurationSource;
@@ -243,9 +243,9 @@
     /// Tells a control box all findings and limits. As news they are told once, so one that could not be told then would
     /// never hear of them.
     fn tell_all_that_is_told_once(&self, link: &ControlLink) {
-        let findings = self.entry.quarantine.borrow().all(self.entry.cluster_time());
+        let findings = self.entry.quarantine.borrow().valid_records(self.entry.cluster_time());
         if !findings.is_empty() {
-            link.send(FromEntry::Findings(findings));
+            link.send(FromEntry::QuarantineRecords(findings));
         }
         let limits = self.entry.limits.borrow().all();
         if !limits.is_empty() {
@@ -298,7 +298,7 @@
             ToEntry::Loads { whole, loads } => {
                 work_at_endpoints::learn_loads(&self.entry, whole, &loads, &self.told.borrow());
             }
-            ToEntry::Findings(findings) => quarantine::learn(&self.entry, &findings),
+            ToEntry::QuarantineRecords(findings) => quarantine::merge(&self.entry, &findings),
             ToEntry::Limits(told) => limits::learn(&self.entry, &told),
             ToEntry::BoxNumber(number) => self.learn_box_number(from, number),
             ToEntry::Parts(parts) => work_at_endpoints::learn_parts(&self.entry, &parts),
@@ -334,7 +334,7 @@
     /// Endpoints that are known to be leaving or gone.
     fn leaving(&self) -> Vec<Report> {
         let mut reports = self.entry.registry.borrow().reports(clock::now());
-        reports.retain(|report| report.standing > Standing::Ready);
+        reports.retain(|report| report.lifecycle > Lifecycle::Ready);
         reports
     }
 
@@ -398,7 +398,7 @@
     fn tell_findings(&self) {
         let findings = self.entry.quarantine.borrow_mut().take_news();
         if !findings.is_empty() {
-            self.send_to_all(FromEntry::Findings(findings));
+            self.send_to_all(FromEntry::QuarantineRecords(findings));
         }
     }
 
--- a/crates/vaneway-server/src/core/cluster/wire.rs
+++ b/crates/vaneway-server/src/core/cluster/wire.rs
@@ -15,7 +15,7 @@
 use vaneway_agreement::NodeId;
 use vaneway_limit::BoxNumber;
 use vaneway_limit::NamedLimit;
-use vaneway_quarantine::Finding;
+use vaneway_quarantine::QuarantineRecord;
 use vaneway_registry::Report;
 
 use crate::core::configuration::Configuration;
@@ -121,7 +121,7 @@
     /// What I want to be told of the other entry boxes; nothing until I say so.
     Tell(Wanted),
     /// Requests under which endpoints ended, as far as it is news.
-    Findings(Vec<Finding>),
+    QuarantineRecords(Vec<QuarantineRecord>),
     /// Limits that endpoints named in answers to me, as far as it is news.
     Limits(Vec<NamedLimit>),
     /// Tell me which version of the configuration is agreed on, now and whenever it changes. Who doesn't say so before its first
@@ -185,7 +185,7 @@
     /// Prompt parts that requests of any entry box brought to endpoints.
     Parts(KeptParts),
     /// Requests under which endpoints ended, at any entry box.
-    Findings(Vec<Finding>),
+    QuarantineRecords(Vec<QuarantineRecord>),
     /// Limits that endpoints named in answers to any entry box.
     Limits(Vec<NamedLimit>),
     /// Which of the entry boxes that share the limits of endpoints you are.
@@ -240,7 +240,7 @@
     /// News of endpoints.
     Registry(Vec<Report>),
     /// Requests under which endpoints ended, as far as it is news.
-    Findings(Vec<Finding>),
+    QuarantineRecords(Vec<QuarantineRecord>),
     /// Limits that endpoints named, as far as it is news.
     Limits(Vec<NamedLimit>),
 }
--- a/crates/vaneway-server/src/core/control/capacity.rs
+++ b/crates/vaneway-server/src/core/control/capacity.rs
@@ -15,7 +15,7 @@
 use vaneway_engine::Demand;
 use vaneway_engine::EngineSize;
 use vaneway_engine::Rates;
-use vaneway_registry::Standing;
+use vaneway_registry::Lifecycle;
 
 use crate::core::configuration::CapacitySpec;
 use crate::core::configuration::ServiceSpec;
@@ -206,12 +206,12 @@
         let Some(details) = known.details.as_ref().filter(|d| d.service == service) else {
             continue;
         };
-        let heard = now.saturating_duration_since(known.heard) < HEARD_WITHIN;
+        let heard = now.saturating_duration_since(known.last_report_at) < HEARD_WITHIN;
         let kind = if details.reclaimable { Kind::Reclaimable } else { Kind::OnDemand };
         let zone = details.availability_zone.clone();
-        if known.standing == Standing::Ready && heard {
+        if known.lifecycle == Lifecycle::Ready && heard {
             *running.entry((zone, kind)).or_default() += 1;
-        } else if kind == Kind::Reclaimable && known.standing == Standing::Draining && heard {
+        } else if kind == Kind::Reclaimable && known.lifecycle == Lifecycle::Draining && heard {
             *leaving.entry(zone).or_default() += 1;
         }
     }
@@ -240,7 +240,7 @@
         let named = limits.get(instance).filter(|named| named.is_of(known.born) && !named.ended)?;
         let serves = known.details.as_ref().is_some_and(|details| details.service == service);
         let takes = (named.rate.per_second() / full).min(1.0);
-        (serves && known.standing == Standing::Ready).then_some(1.0 - takes)
+        (serves && known.lifecycle == Lifecycle::Ready).then_some(1.0 - takes)
     });
     lost.sum()
 }
--- a/crates/vaneway-server/src/core/control/links.rs
+++ b/crates/vaneway-server/src/core/control/links.rs
@@ -200,7 +200,7 @@
         ToControl::Entry(FromEntry::Parts(parts)) => {
             control.parts.borrow_mut().learn(clock::now(), &parts);
         }
-        ToControl::Entry(FromEntry::Findings(findings)) => {
+        ToControl::Entry(FromEntry::QuarantineRecords(findings)) => {
             news::learn_findings(control, &findings, Source::Entry);
         }
         ToControl::Entry(FromEntry::Limits(told)) => {
--- a/crates/vaneway-server/src/core/control/news.rs
+++ b/crates/vaneway-server/src/core/control/news.rs
@@ -8,7 +8,7 @@
 use std::cell::Cell;
 
 use vaneway_limit::NamedLimit;
-use vaneway_quarantine::Finding;
+use vaneway_quarantine::QuarantineRecord;
 use vaneway_registry::Change;
 use vaneway_registry::Report;
 
@@ -83,11 +83,11 @@
 pub(super) fn all_for_control(control: &Control) -> Vec<BetweenControl> {
     let now = control.time();
     let reports = control.registry.borrow().reports(clock::now());
-    let findings = control.quarantine.borrow().all(now);
+    let findings = control.quarantine.borrow().valid_records(now);
     let limits = control.limits.borrow().all();
     let mut all = vec![BetweenControl::Registry(reports)];
     if !findings.is_empty() {
-        all.push(BetweenControl::Findings(findings));
+        all.push(BetweenControl::QuarantineRecords(findings));
     }
     if !limits.is_empty() {
         all.push(BetweenControl::Limits(limits));
@@ -99,7 +99,9 @@
 pub(super) fn learn_from_control(control: &Control, message: BetweenControl) {
     match message {
         BetweenControl::Registry(reports) => learn_endpoints(control, &reports, Source::Control),
-        BetweenControl::Findings(findings) => learn_findings(control, &findings, Source::Control),
+        BetweenControl::QuarantineRecords(findings) => {
+            learn_findings(control, &findings, Source::Control)
+        }
         BetweenControl::Limits(told) => learn_limits(control, &told, Source::Control),
         // The answer to a ping has nothing that the ping on the other connection doesn't have.
         BetweenControl::Hello { .. }
@@ -122,13 +124,13 @@
             control.parts.borrow_mut().forget_endpoint(&report.instance);
         }
         match change {
-            Change::News => news.extend(control.registry.borrow().report(now, &report.instance)),
+            Change::Updated => news.extend(control.registry.borrow().report(now, &report.instance)),
             Change::Refreshed if direct => {
                 for peer in control.peers.borrow().values() {
                     peer.refreshed.borrow_mut().insert(report.instance.clone());
                 }
             }
-            Change::Refreshed | Change::Nothing => {}
+            Change::Refreshed | Change::Unchanged => {}
         }
     }
     if news.is_empty() {
@@ -138,7 +140,7 @@
         Line::new("endpoint")
             .with("replica", &report.instance)
             .with("born", report.born)
-            .with("standing", report.standing.name())
+            .with("standing", report.lifecycle.name())
             .with("sequence", report.sequence)
             .with("reclaimable", report.details.as_ref().is_some_and(|d| d.reclaimable))
             .with(
@@ -157,15 +159,15 @@
 
 /// Takes in under which requests endpoints ended, and passes on what is news: to the entry boxes that this box tells
 /// of others, and to the other control boxes, which may hear other entry boxes.
-pub(super) fn learn_findings(control: &Control, findings: &[Finding], source: Source) {
+pub(super) fn learn_findings(control: &Control, findings: &[QuarantineRecord], source: Source) {
     let news = control.quarantine.borrow_mut().merge(control.time(), findings);
     if news.is_empty() {
         return;
     }
     control.passed_on.count(Kind::Findings, news.len());
-    links::send_to_those_told_of_loads(control, &ToEntry::Findings(news.clone()));
+    links::send_to_those_told_of_loads(control, &ToEntry::QuarantineRecords(news.clone()));
     if source != Source::Control {
-        peers::send_to_all(control, BetweenControl::Findings(news));
+        peers::send_to_all(control, BetweenControl::QuarantineRecords(news));
     }
 }
 
--- a/crates/vaneway-server/src/core/control/remembered.rs
+++ b/crates/vaneway-server/src/core/control/remembered.rs
@@ -21,8 +21,8 @@
 
 use serde::Deserialize;
 use serde::Serialize;
+use vaneway_registry::Lifecycle;
 use vaneway_registry::Report;
-use vaneway_registry::Standing;
 
 use crate::core::control::state::Control;
 use crate::core::control::telling;
@@ -134,7 +134,7 @@
 /// The endpoints that are ready, without what changes with every heartbeat.
 fn ready(control: &Control) -> Vec<Report> {
     let mut endpoints = control.registry.borrow().reports(clock::now());
-    endpoints.retain(|report| report.standing == Standing::Ready && report.details.is_some());
+    endpoints.retain(|report| report.lifecycle == Lifecycle::Ready && report.details.is_some());
     for report in &mut endpoints {
         report.age_ms = 0;
         report.sequence = 0;
--- a/crates/vaneway-server/src/core/control/state.rs
+++ b/crates/vaneway-server/src/core/control/state.rs
@@ -213,9 +213,9 @@
             .map(|(instance, known)| {
                 json!({
                     "instance": instance,
-                    "standing": known.standing.name(),
+                    "standing": known.lifecycle.name(),
                     "sequence": known.sequence,
-                    "heard_ms_ago": now.saturating_duration_since(known.heard).as_millis() as u64,
+                    "heard_ms_ago": now.saturating_duration_since(known.last_report_at).as_millis() as u64,
                 })
             })
             .collect();
--- a/crates/vaneway-server/src/core/control/telling.rs
+++ b/crates/vaneway-server/src/core/control/telling.rs
@@ -212,9 +212,9 @@
         let loads = control.use_ledger.borrow_mut().loads().all();
         link.outgoing.send(&ToEntry::Loads { whole: true, loads });
         link.outgoing.send(&ToEntry::Parts(control.parts.borrow().all()));
-        let findings = control.quarantine.borrow().all(control.time());
+        let findings = control.quarantine.borrow().valid_records(control.time());
         if !findings.is_empty() {
-            link.outgoing.send(&ToEntry::Findings(findings));
+            link.outgoing.send(&ToEntry::QuarantineRecords(findings));
         }
         let limits = control.limits.borrow().all();
         if !limits.is_empty() {
--- a/crates/vaneway-server/src/core/endpoints/registered.rs
+++ b/crates/vaneway-server/src/core/endpoints/registered.rs
@@ -9,10 +9,10 @@
 
 use vaneway_registry::Change;
 use vaneway_registry::Details;
+use vaneway_registry::EndpointRecord;
 use vaneway_registry::InstanceId;
-use vaneway_registry::Known;
+use vaneway_registry::Lifecycle;
 use vaneway_registry::Report;
-use vaneway_registry::Standing;
 use vaneway_route::EndpointId;
 use vaneway_route::EndpointSpec;
 use vaneway_route::EndpointState;
@@ -41,7 +41,7 @@
     for report in reports {
         let born_before = entry.registry.borrow().born(&report.instance);
         let change = entry.registry.borrow_mut().merge(now, report);
-        if change != Change::News {
+        if change != Change::Updated {
             continue;
         }
         let known = entry.registry.borrow().get(&report.instance).cloned();
@@ -105,21 +105,23 @@
     entry.change(|pool, now, out| pool.notice(now, endpoint, now + FINISH_WITHIN, out));
 }
 
-fn apply_news(entry: &Entry, instance: &InstanceId, known: &Known) {
+fn apply_news(entry: &Entry, instance: &InstanceId, known: &EndpointRecord) {
     let registered = entry.registered.borrow().get(instance).copied();
     let endpoint = match (registered, &known.details) {
         (Some(endpoint), _) => endpoint,
-        (None, Some(details)) if known.standing == Standing::Ready => add(entry, instance, details),
+        (None, Some(details)) if known.lifecycle == Lifecycle::Ready => {
+            add(entry, instance, details)
+        }
         // Never used here, so there is nothing to take away.
         (None, _) => return,
     };
     Line::new("endpoint")
         .with("replica", instance)
-        .with("standing", known.standing.name())
+        .with("standing", known.lifecycle.name())
         .with("sequence", known.sequence)
         .with("address", known.details.as_ref().map_or(String::new(), |d| d.address.to_string()))
         .info();
-    if known.standing > Standing::Ready {
+    if known.lifecycle > Lifecycle::Ready {
         let now = clock::now();
         let gone_at = known.ends_at.unwrap_or(now + FINISH_WITHIN);
         entry.change(|pool, now, out| pool.notice(now, endpoint, gone_at, out));
--- a/crates/vaneway-server/src/core/entry.rs
+++ b/crates/vaneway-server/src/core/entry.rs
@@ -418,12 +418,12 @@
             Effect::MoveWork { endpoint, gone_at } => {
                 self.metrics.notices.inc();
                 self.log_endpoint("endpoint_leaving", endpoint);
-                self.open.signal_all(&Event::Leaving { endpoint, gone_at });
+                self.open.send_to_all(&Event::Leaving { endpoint, gone_at });
             }
             Effect::AbandonWork { endpoint } => {
                 self.log_endpoint("endpoint_gone", endpoint);
                 self.connections.forget(self.address(endpoint));
-                self.open.signal_all(&Event::Gone { endpoint });
+                self.open.send_to_all(&Event::Gone { endpoint });
             }
         }
     }
@@ -476,7 +476,7 @@
             "open_requests": self.open.dump(),
             "retries_left": self.budgets.borrow().iter().map(RetryBudget::left).collect::<Vec<_>>(),
             "claims": self.claims.as_ref().map(|claims| json!({
-                "keys": claims.keys(), "held": claims.held(), "closed": claims.is_closed(),
+                "keys": claims.key_count(), "held": claims.running_calls(), "closed": claims.is_closed(),
             })),
             "marks": self.cluster.as_ref().map(Cluster::marks),
             "caller_connections": self.callers.get(),
--- a/crates/vaneway-server/src/core/limits.rs
+++ b/crates/vaneway-server/src/core/limits.rs
@@ -6,9 +6,9 @@
 use vaneway_limit::NamedLimit;
 use vaneway_limit::NumberError;
 use vaneway_limit::Rate;
-use vaneway_registry::Born;
+use vaneway_registry::Lifecycle;
 use vaneway_registry::Registry;
-use vaneway_registry::Standing;
+use vaneway_registry::StartMillis;
 use vaneway_route::EndpointId;
 use vaneway_route::EndpointState;
 
@@ -101,13 +101,13 @@
 }
 
 /// Whether this incarnation of an endpoint may still answer, as a control box knows it.
-pub fn is_there(registry: &Registry, name: &str, born: Born) -> bool {
-    registry.get(name).is_some_and(|known| known.born <= born && known.standing < Standing::Gone)
+pub fn is_there(registry: &Registry, name: &str, born: StartMillis) -> bool {
+    registry.get(name).is_some_and(|known| known.born <= born && known.lifecycle < Lifecycle::Gone)
 }
 
 /// The incarnation that an endpoint of the pool stands for; none if another has taken its place. One that the
 /// settings name has no other.
-fn incarnation(entry: &Entry, name: &str, endpoint: EndpointId) -> Option<Born> {
+fn incarnation(entry: &Entry, name: &str, endpoint: EndpointId) -> Option<StartMillis> {
     let registered = entry.registered.borrow().get(name).copied();
     let born = || entry.registry.borrow().born(name);
     registered.is_none_or(|current| current == endpoint).then(born)
--- a/crates/vaneway-server/src/core/quarantine.rs
+++ b/crates/vaneway-server/src/core/quarantine.rs
@@ -1,9 +1,9 @@
 //! Requests under which endpoints end, as this entry box treats them.
 //!
-//! Data flow: an attempt that breaks off asks whether its endpoint has ended ([`endpoint_has_ended`]). If so, the
-//! call counts it against its request ([`endpoint_ended`]) and ends there if the request is condemned. What is
-//! answered with success is cleared ([`request_served`]), and a request that is condemned is refused wherever it is sent
-//! again ([`check`]). What is found is told to the other boxes, and what they found is learned ([`learn`]).
+//! Data flow: an attempt that breaks off asks whether its endpoint has ended ([`endpoint_has_exited`]). If so, the
+//! call counts it against its request ([`record_crash`]) and ends there if the request is condemned. What is
+//! answered with success is cleared ([`clear_request`]), and a request that is condemned is refused wherever it is sent
+//! again ([`check`]). What is found is told to the other boxes, and what they found is learned ([`merge`]).
 
 use std::collections::BTreeSet;
 use std::future::poll_fn;
@@ -12,12 +12,12 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use vaneway_quarantine::Finding;
 use vaneway_quarantine::Fingerprint;
 use vaneway_quarantine::Incarnation;
 use vaneway_quarantine::Progress;
+use vaneway_quarantine::QuarantineRecord;
 use vaneway_quarantine::Verdict;
-use vaneway_registry::Born;
+use vaneway_registry::StartMillis;
 use vaneway_relay::Event;
 use vaneway_relay::FailureKind;
 use vaneway_route::EndpointId;
@@ -58,7 +58,7 @@
 
 /// Whether an endpoint has ended and not by plan: nothing listens at its address, and it had not said that it leaves.
 /// What speaks against it is logged, since nothing is held then against the request that it ran.
-pub async fn endpoint_has_ended(
+pub async fn endpoint_has_exited(
     entry: &Entry,
     request: &CallRequest,
     endpoint: EndpointId,
@@ -103,7 +103,7 @@
 }
 
 /// When an endpoint that runs now was born, as this box knows it.
-pub fn born(entry: &Entry, endpoint: EndpointId) -> Born {
+pub fn born(entry: &Entry, endpoint: EndpointId) -> StartMillis {
     entry.registry.borrow().born(&entry.pool.borrow().get(endpoint).spec.name)
 }
 
@@ -111,25 +111,25 @@
 ///
 /// Of many boxes each would find it for itself, at the cost of a request's time, of an arrival at another endpoint and
 /// of the budget of retries: 900 times after two waves of 23 crashes of 60 endpoints under 69 boxes, as simulated.
-pub fn found_ended(entry: &Entry, endpoint: EndpointId, ended: &Incarnation) {
+pub fn record_exit(entry: &Entry, endpoint: EndpointId, ended: &Incarnation) {
     if !entry.registered.borrow().contains_key(ended.name()) {
         // One that the settings name starts again as the same endpoint, without anyone saying so.
         return;
     }
     let now = entry.cluster_time();
-    entry.quarantine.borrow_mut().found_ended(now, ended);
+    entry.quarantine.borrow_mut().record_exit(now, ended);
     entry.change(|pool, now, out| pool.ended(now, endpoint, out));
 }
 
 /// Counts that an endpoint ended under a request, the last of `ends`; the others ended under it before.
-pub fn endpoint_ended(
+pub fn record_crash(
     entry: &Entry,
     request: &CallRequest,
     ends: &[(Incarnation, Progress)],
 ) -> Verdict {
     let fingerprint = fingerprint(request);
     let now = entry.cluster_time();
-    let verdict = entry.quarantine.borrow_mut().endpoint_ended(now, fingerprint, ends);
+    let verdict = entry.quarantine.borrow_mut().record_crash(now, fingerprint, ends);
     entry.metrics.quarantine.with_label_values(&[&request.service_name, verdict.name()]).inc();
     Line::new("endpoint_ended_under_request")
         .with("request", &request.id)
@@ -151,14 +151,14 @@
 }
 
 /// Clears a request that was answered whole and with success, if anything was held against it.
-pub fn request_served(entry: &Entry, request: &CallRequest) {
+pub fn clear_request(entry: &Entry, request: &CallRequest) {
     if entry.quarantine.borrow().is_empty() {
         return;
     }
     let fingerprint = fingerprint(request);
     let now = entry.cluster_time();
     let ends = known_ends(entry, fingerprint);
-    if entry.quarantine.borrow_mut().served(now, fingerprint) {
+    if entry.quarantine.borrow_mut().clear(now, fingerprint) {
         let cleared = Verdict::Cleared.name();
         entry.metrics.quarantine.with_label_values(&[&request.service_name, cleared]).inc();
         Line::new("request_cleared")
@@ -172,7 +172,7 @@
 /// Clears a request at an operator's word, here and at all other boxes; whether anything was held against it.
 pub fn release(entry: &Entry, fingerprint: Fingerprint) -> bool {
     let now = entry.cluster_time();
-    let released = entry.quarantine.borrow_mut().served(now, fingerprint);
+    let released = entry.quarantine.borrow_mut().clear(now, fingerprint);
     Line::new("request_released")
         .with("fingerprint", format!("{fingerprint:016x}"))
         .with("was_held", released)
@@ -182,27 +182,27 @@
 
 /// Where a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Placing {
+pub enum Placement {
     /// At any endpoint.
     Anywhere,
     /// Apart from others, by its fingerprint: an endpoint ended under it.
-    Apart(Fingerprint),
+    Isolated(Fingerprint),
     /// At none: it is condemned.
-    Nowhere,
+    Forbidden,
 }
 
 /// Where a request may run; `ended_here` if an endpoint ended under it at this box.
-pub fn placing(entry: &Entry, request: &CallRequest, ended_here: bool) -> Placing {
+pub fn placement(entry: &Entry, request: &CallRequest, ended_here: bool) -> Placement {
     let quarantine = entry.quarantine.borrow();
     if quarantine.is_empty() {
-        return Placing::Anywhere;
+        return Placement::Anywhere;
     }
     let fingerprint = fingerprint(request);
     match quarantine.verdict(fingerprint) {
-        Some(Verdict::Condemned) => Placing::Nowhere,
-        Some(Verdict::Suspected) => Placing::Apart(fingerprint),
-        _ if ended_here => Placing::Apart(fingerprint),
-        _ => Placing::Anywhere,
+        Some(Verdict::Condemned) => Placement::Forbidden,
+        Some(Verdict::Suspected) => Placement::Isolated(fingerprint),
+        _ if ended_here => Placement::Isolated(fingerprint),
+        _ => Placement::Anywhere,
     }
 }
 
@@ -212,7 +212,7 @@
 ///
 /// If it is.
 pub fn check(entry: &Entry, request: &CallRequest) -> Result<(), ApiError> {
-    if placing(entry, request, false) != Placing::Nowhere {
+    if placement(entry, request, false) != Placement::Forbidden {
         return Ok(());
     }
     let fingerprint = fingerprint(request);
@@ -222,17 +222,17 @@
         "{ends} endpoints that ran this request ended under it, so it is run no more; send it in another form, or \
          ask an operator to release {fingerprint:016x}"
     );
-    let code = FailureKind::EndsEndpoints.code();
+    let code = FailureKind::CrashesEndpoints.code();
     Err(ApiError::rejected(StatusCode::UNPROCESSABLE_ENTITY, code, message))
 }
 
 /// Learns what other boxes found. What runs here and is condemned now is taken back before its endpoint ends too.
-pub fn learn(entry: &Entry, findings: &[Finding]) {
+pub fn merge(entry: &Entry, findings: &[QuarantineRecord]) {
     let now = entry.cluster_time();
     let news = entry.quarantine.borrow_mut().merge(now, findings);
-    let changed = |finding: &Finding| match finding {
-        Finding::Case { fingerprint, .. } => Some(*fingerprint),
-        Finding::EndpointEnded { .. } => None,
+    let changed = |finding: &QuarantineRecord| match finding {
+        QuarantineRecord::Case { fingerprint, .. } => Some(*fingerprint),
+        QuarantineRecord::EndpointEnded { .. } => None,
     };
     let is_condemned = |fingerprint: &Fingerprint| {
         entry.quarantine.borrow().verdict(*fingerprint) == Some(Verdict::Condemned)
@@ -240,16 +240,18 @@
     let condemned: BTreeSet<Fingerprint> =
         news.iter().filter_map(changed).filter(is_condemned).collect();
     if !condemned.is_empty() {
-        entry.open.signal_calls(&Event::Condemned, |call| condemned.contains(&fingerprint(call)));
+        entry
+            .open
+            .send_to_matching(&Event::Condemned, |call| condemned.contains(&fingerprint(call)));
     }
     for finding in news {
         match finding {
-            Finding::Case { fingerprint, case } => Line::new("request_case_told")
+            QuarantineRecord::Case { fingerprint, case } => Line::new("request_case_told")
                 .with("fingerprint", format!("{fingerprint:016x}"))
                 .with("verdict", case.verdict.name())
                 .with("ended", case.ends.len())
                 .info(),
-            Finding::EndpointEnded { endpoint, .. } => learn_ended(entry, &endpoint),
+            QuarantineRecord::EndpointEnded { endpoint, .. } => learn_ended(entry, &endpoint),
         }
     }
 }
--- a/crates/vaneway-server/src/core/running.rs
+++ b/crates/vaneway-server/src/core/running.rs
@@ -195,7 +195,8 @@
         entry.timers.timeout_at(until, empty).await;
         let cut_off = entry.open.len();
         let until = clock::now() + CLOSE_WITHIN;
-        let busy = || entry.callers.get() + entry.claims.as_ref().map_or(0, Claims::held) > 0;
+        let busy =
+            || entry.callers.get() + entry.claims.as_ref().map_or(0, Claims::running_calls) > 0;
         while busy() && clock::now() < until {
             entry.timers.sleep(Duration::from_millis(5)).await;
         }
