--- a/crates/vaneway-server/src/core/kept_parts.rs
+++ b/crates/vaneway-server/src/core/cached_parts.rs
@@ -4,7 +4,7 @@
 //! that are kept there, sends requests to where their prompts have to be read again, and takes the work
 //! given to endpoints for more than it is.
 //!
-//! Data flow: an entry box tells which parts it brought where ([`PartLedger::learn`]), unless it knows
+//! Data flow: an entry box tells which parts it brought where ([`PartLedger::record`]), unless it knows
 //! that they are told already. What is news goes to all entry boxes once ([`PartLedger::take_news`]).
 
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 use vaneway_route::PartId;
 
 /// Prompt parts by the endpoint that keeps them.
-pub type KeptParts = Vec<(InstanceId, Vec<PartId>)>;
+pub type CachedParts = Vec<(InstanceId, Vec<PartId>)>;
 
 /// Age up to which a part that is told again is no news: entry boxes that had not heard of it yet.
 const TOLD_LATELY: Duration = Duration::from_secs(1);
@@ -34,7 +34,7 @@
 
 impl PartLedger {
     /// Learns of parts that were brought to endpoints.
-    pub fn learn(&mut self, now: Instant, parts: &[(InstanceId, Vec<PartId>)]) {
+    pub fn record(&mut self, now: Instant, parts: &[(InstanceId, Vec<PartId>)]) {
         for (instance, parts) in parts {
             let known = self.known.entry(instance.clone()).or_default();
             for part in parts {
@@ -48,7 +48,7 @@
     }
 
     /// What was learned since this was last asked.
-    pub fn take_news(&mut self) -> KeptParts {
+    pub fn take_news(&mut self) -> CachedParts {
         let mut news = BTreeMap::<InstanceId, Vec<PartId>>::new();
         for (instance, part) in self.news.drain(..) {
             news.entry(instance).or_default().push(part);
@@ -57,13 +57,13 @@
     }
 
     /// Forgets all that was at an endpoint, which has started anew.
-    pub fn forget_endpoint(&mut self, instance: &InstanceId) {
+    pub fn remove_endpoint(&mut self, instance: &InstanceId) {
         self.known.remove(instance);
         self.news.retain(|(at, _)| at != instance);
     }
 
     /// Forgets what no longer counts.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn expire(&mut self, now: Instant) {
         for parts in self.known.values_mut() {
             parts.retain(|_, at| now < *at + PART_KEPT);
         }
@@ -71,7 +71,7 @@
     }
 
     /// All that is known, for an entry box that knows nothing.
-    pub fn all(&self) -> KeptParts {
+    pub fn all(&self) -> CachedParts {
         let all = self.known.iter();
         all.map(|(instance, parts)| (instance.clone(), parts.keys().copied().collect())).collect()
     }
--- a/crates/vaneway-server/src/core/callers/front.rs
+++ b/crates/vaneway-server/src/core/callers/front.rs
@@ -42,12 +42,12 @@
         let limits = self.entry.caller_limits();
         ConnectionLimits {
             header_bytes: limits.header_bytes,
-            header_timeout: limits.header_within,
-            idle_timeout: limits.idle_within,
+            header_timeout: limits.header_timeout,
+            idle_timeout: limits.idle_timeout,
         }
     }
 
     fn connections_changed(&self, count: usize) {
-        self.entry.callers.set(count);
+        self.entry.caller_connections.set(count);
     }
 }
--- a/crates/vaneway-server/src/core/callers/ready.rs
+++ b/crates/vaneway-server/src/core/callers/ready.rs
@@ -42,7 +42,7 @@
 /// is left of quotas.
 pub fn is_ready(entry: &Entry) -> bool {
     let configured = entry.settings.follow.is_none() || entry.table().is_some();
-    let quotas = entry.quotas.are_heard() || entry.up() >= QUOTAS_HEARD_WITHIN;
+    let quotas = entry.quotas.are_synced() || entry.uptime() >= QUOTAS_HEARD_WITHIN;
     configured && quotas && entry.phase() == Phase::Serving
 }
 
--- a/crates/vaneway-server/src/core/calls/attempt.rs
+++ b/crates/vaneway-server/src/core/calls/attempt.rs
@@ -32,11 +32,11 @@
 use crate::core::endpoints::upstream::SendError;
 use crate::core::entry::Entry;
 use crate::core::limits;
-use crate::core::limits::Heard;
+use crate::core::limits::LimitObservation;
 use crate::core::occupancy::Occupancy;
 use crate::core::quarantine;
-use crate::core::rests;
-use crate::core::rests::Refusal;
+use crate::core::retry_after;
+use crate::core::retry_after::Refusal;
 use crate::util::body::ResponseBody;
 use crate::util::clock;
 use crate::util::outbox::Outbox;
@@ -170,14 +170,14 @@
         let (head, body) = response.into_parts();
         let verdict = protocol.judge(&request, &head);
         if !matches!(verdict, Verdict::Replaced | Verdict::Foreign) {
-            let heard = Heard {
+            let heard = LimitObservation {
                 endpoint,
                 request: &request.id,
                 service: &request.service_name,
                 succeeded: verdict == Verdict::Answer && head.status.is_success(),
                 named: protocol.named_limit(&head.headers),
             };
-            limits::answered(&entry, &heard);
+            limits::observe_response(&entry, &heard);
             if protocol.says_leaving(&head.headers) {
                 registered::says_leaving(&entry, endpoint, &request.id);
             }
@@ -216,7 +216,7 @@
                     status: head.status,
                     headers: &head.headers,
                 };
-                rests::refused(&entry, &refusal);
+                retry_after::apply_refusal(&entry, &refusal);
                 entry.connections.put_refused(&entry.timers, spec.address, body).await;
                 CallItem::ended(Outcome::Refused, "the endpoint did not run it")
             }
@@ -261,7 +261,7 @@
 async fn next_event<E>(mut reading: Box<Reading>) -> (CallItem, Stage<E>) {
     let broken = loop {
         if let Some(event) = reading.cutter.next_event() {
-            reading.occupancy.heard();
+            reading.occupancy.record_chunk();
             return (CallItem::Event(event), Stage::Reading(reading));
         }
         let limits = &reading.limits;
@@ -291,7 +291,7 @@
         return (CallItem::Event(event), Stage::Reading(reading));
     }
     let Reading { entry, addr, body, mut attempt, mut occupancy, .. } = *reading;
-    occupancy.ended();
+    occupancy.mark_complete();
     let outcome = attempt.handle(AttemptEvent::End).unwrap_or(Outcome::Done);
     entry.connections.put(addr, body);
     (CallItem::ended(outcome, ""), Stage::Over)
--- a/crates/vaneway-server/src/core/calls/call.rs
+++ b/crates/vaneway-server/src/core/calls/call.rs
@@ -58,9 +58,9 @@
 use crate::core::endpoints::protocol::CallRequest;
 use crate::core::endpoints::protocol::EndpointProtocol;
 use crate::core::entry::Entry;
-use crate::core::pace;
 use crate::core::quarantine;
 use crate::core::quarantine::Placement;
+use crate::core::queue_limit;
 use crate::util::body::ResponseBody;
 use crate::util::clock;
 use crate::util::logline::Line;
@@ -236,7 +236,7 @@
             CallItem::Answer(response) => {
                 self.count_begun();
                 self.succeeded = response.status().is_success();
-                self.entry.report(endpoint, EndpointEvent::Answered);
+                self.entry.apply_event(endpoint, EndpointEvent::Answered);
                 self.count_attempt(Outcome::Done);
                 if self.relay.splice().has_sent() {
                     return Event::Answered { attempt };
@@ -257,7 +257,7 @@
                 }
                 match seen {
                     Seen::Replaced => {
-                        self.entry.report(endpoint, EndpointEvent::Removed);
+                        self.entry.apply_event(endpoint, EndpointEvent::Removed);
                         event
                     }
                     Seen::Ended(progress) if self.is_condemned(endpoint, progress) => {
@@ -289,12 +289,12 @@
         cause: &str,
     ) -> Event {
         match outcome {
-            Outcome::Done => self.entry.report(endpoint, EndpointEvent::Answered),
+            Outcome::Done => self.entry.apply_event(endpoint, EndpointEvent::Answered),
             Outcome::Refused => {
                 self.entry.pool.borrow_mut().refused(clock::now(), endpoint);
             }
             Outcome::NotSent | Outcome::Unknown => {
-                self.entry.report(endpoint, EndpointEvent::Failed);
+                self.entry.apply_event(endpoint, EndpointEvent::Failed);
             }
         }
         self.note_end(attempt, endpoint, outcome, cause)
@@ -334,7 +334,7 @@
     /// Counts the request once as one that an endpoint began to work on.
     fn count_begun(&mut self) {
         if !std::mem::replace(&mut self.began, true) {
-            self.entry.count_begun(&self.request.organisation);
+            self.entry.count_started(&self.request.organisation);
         }
     }
 
@@ -344,9 +344,9 @@
             Start::Fresh => None,
             Start::Resume { after } | Start::Continue { after } => Some(after),
         };
-        let mut occupancy = self.entry.occupy(endpoint, 1, self.request.work.as_ref());
+        let mut occupancy = self.entry.begin_attempt(endpoint, 1, self.request.work.as_ref());
         if let Some(work) = &self.request.work {
-            occupancy.watch(&self.request.service_name, work.prompt_tokens.into());
+            occupancy.track_run(&self.request.service_name, work.prompt_tokens.into());
         }
         let attempt = Attempt {
             occupancy,
@@ -416,7 +416,7 @@
         if request.work.is_none() || !self.relay.tried().is_empty() {
             return None;
         }
-        pace::pace(&self.entry, request.service, &request.service_name, deadline)
+        queue_limit::queue_limit(&self.entry, request.service, &request.service_name, deadline)
     }
 
     fn finish(mut self) {
--- a/crates/vaneway-server/src/core/cloud_notices.rs
+++ b/crates/vaneway-server/src/core/cloud_notices.rs
@@ -124,7 +124,7 @@
         BoxState::Leaving => Some(EndpointEvent::Notice),
         BoxState::Gone => Some(EndpointEvent::Removed),
     };
-    entry.change(|pool, now, out| {
+    entry.update_pool(|pool, now, out| {
         let current = pool.listed(now, endpoint, &listed.instance, out);
         if let Some(event) = event.filter(|_| current) {
             pool.handle(now, endpoint, event, out);
--- a/crates/vaneway-server/src/core/cluster/named_control_boxes.rs
+++ b/crates/vaneway-server/src/core/cluster/advertised_control_boxes.rs
@@ -11,11 +11,11 @@
 
 /// The control boxes that each control box named last.
 #[derive(Debug, Default)]
-pub struct NamedControlBoxes(BTreeMap<SocketAddr, BTreeSet<SocketAddr>>);
+pub struct AdvertisedControlBoxes(BTreeMap<SocketAddr, BTreeSet<SocketAddr>>);
 
-impl NamedControlBoxes {
+impl AdvertisedControlBoxes {
     /// Learns which control boxes the one at `by` names; what others named that are not connected now is forgotten.
-    pub fn learn(
+    pub fn record(
         &mut self,
         by: SocketAddr,
         named: &[SocketAddr],
--- a/crates/vaneway-server/src/core/cluster/configuration_source.rs
+++ b/crates/vaneway-server/src/core/cluster/configuration_source.rs
@@ -47,12 +47,12 @@
     }
 
     /// A control box says that a version is agreed on.
-    pub fn offered(&mut self, by: SocketAddr, version: Version) {
+    pub fn record_offer(&mut self, by: SocketAddr, version: Version) {
         self.offers.insert(by, version);
     }
 
     /// The connection to a control box ended.
-    pub fn lost(&mut self, by: SocketAddr) {
+    pub fn disconnected(&mut self, by: SocketAddr) {
         self.offers.remove(&by);
         self.asked.take_if(|asked| asked.of == by);
     }
@@ -69,7 +69,7 @@
     }
 
     /// Whom to ask now for something newer than `own`; `preferred` goes first.
-    pub fn ask(
+    pub fn next_request(
         &mut self,
         now: Instant,
         own: Version,
--- a/crates/vaneway-server/src/core/cluster/control_link.rs
+++ b/crates/vaneway-server/src/core/cluster/control_link.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use crate::core::cluster::tellers::Teller;
+use crate::core::cluster::publishers::Publisher;
 use crate::core::cluster::wire::BEHIND_AFTER;
 use crate::core::cluster::wire::FromEntry;
 use crate::core::cluster::wire::ToControl;
@@ -31,7 +31,7 @@
     /// Whether something was left out since the answer to a ping was late.
     pub(super) missed: Cell<bool>,
     /// Whether the control box said that it stands in this box's availability zone.
-    pub(super) at_home: Cell<bool>,
+    pub(super) same_zone: Cell<bool>,
     /// What it was asked to tell of the other entry boxes.
     pub(super) wanted: Cell<Wanted>,
 }
@@ -46,7 +46,7 @@
             taken_in: Cell::new(false),
             pinged: Cell::new(None),
             missed: Cell::new(false),
-            at_home: Cell::new(false),
+            same_zone: Cell::new(false),
             wanted: Cell::default(),
         }
     }
@@ -77,12 +77,12 @@
     }
 
     /// The control box at `address` as one that may tell what the others use.
-    pub(super) fn teller(&self, address: SocketAddr) -> Teller {
-        Teller {
+    pub(super) fn publisher(&self, address: SocketAddr) -> Publisher {
+        Publisher {
             address,
-            at_home: self.at_home.get(),
-            silent: clock::elapsed(self.heard.get()),
-            connected: clock::elapsed(self.opened),
+            same_zone: self.same_zone.get(),
+            since_last_message: clock::elapsed(self.heard.get()),
+            connection_age: clock::elapsed(self.opened),
         }
     }
 }
--- a/crates/vaneway-server/src/core/cluster/follow.rs
+++ b/crates/vaneway-server/src/core/cluster/follow.rs
@@ -1,12 +1,12 @@
 //! How an entry box follows the control boxes.
 //!
 //! Data flow: one connection to each control box that is known: the seeds of the settings at
-//! first, then whoever the control boxes name ([`named_control_boxes`]). Any of them may name the newest configuration and
+//! first, then whoever the control boxes name ([`advertised_control_boxes`]). Any of them may name the newest configuration and
 //! endpoints; one that is cut off or behind takes nothing away. A configuration is asked for at one ([`configuration_source`]). What
-//! requests used is told to all; what the others used is heard from two ([`tellers`]).
+//! requests used is told to all; what the others used is heard from two ([`publishers`]).
 //!
 //! [`configuration_source`]: crate::core::cluster::configuration_source
-//! [`named_control_boxes`]: crate::core::cluster::named_control_boxes
+//! [`advertised_control_boxes`]: crate::core::cluster::advertised_control_boxes
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -25,23 +25,23 @@
 use vaneway_registry::Report;
 use vaneway_route::Load;
 
+use crate::core::cluster::advertised_control_boxes::AdvertisedControlBoxes;
 use crate::core::cluster::configuration_source::ConfigurationSource;
 use crate::core::cluster::control_link::ControlLink;
-use crate::core::cluster::named_control_boxes::NamedControlBoxes;
+use crate::core::cluster::publishers;
+use crate::core::cluster::publishers::Publisher;
 use crate::core::cluster::reconnect::keep_connected;
-use crate::core::cluster::tellers;
-use crate::core::cluster::tellers::Teller;
-use crate::core::cluster::wire::BUSY_MOST;
 use crate::core::cluster::wire::FromEntry;
-use crate::core::cluster::wire::LOADS_EVERY;
-use crate::core::cluster::wire::PING_EVERY;
-use crate::core::cluster::wire::SILENCE_MOST;
-use crate::core::cluster::wire::SLOTS_TOLD;
-use crate::core::cluster::wire::TELL_ALL_EVERY;
+use crate::core::cluster::wire::HOST_SILENCE_TIMEOUT;
+use crate::core::cluster::wire::LOAD_REPORT_INTERVAL;
+use crate::core::cluster::wire::PING_INTERVAL;
+use crate::core::cluster::wire::PROCESS_SILENCE_TIMEOUT;
+use crate::core::cluster::wire::SLOTS_PER_REPORT;
 use crate::core::cluster::wire::ToControl;
 use crate::core::cluster::wire::ToEntry;
-use crate::core::cluster::wire::USE_EVERY;
-use crate::core::cluster::wire::WINDOWS_TOLD;
+use crate::core::cluster::wire::USAGE_REPORT_INTERVAL;
+use crate::core::cluster::wire::USAGE_REPORTS_PER_FULL;
+use crate::core::cluster::wire::WINDOWS_PER_REPORT;
 use crate::core::cluster::wire::Wanted;
 use crate::core::cluster::work_at_endpoints;
 use crate::core::cluster_time::ClusterTime;
@@ -51,8 +51,8 @@
 use crate::core::loads::Loads;
 use crate::core::quarantine;
 use crate::core::settings::FollowSettings;
-use crate::core::usage::UseReport;
-use crate::core::usage::WINDOWS_KEPT;
+use crate::core::usage::RETAINED_WINDOWS;
+use crate::core::usage::UsageReport;
 use crate::util::clock;
 use crate::util::frames;
 use crate::util::frames::EncodedFrame;
@@ -77,7 +77,7 @@
     /// What the connections hold.
     held: Rc<BufferedBytes>,
     /// Control boxes that are named.
-    named: RefCell<NamedControlBoxes>,
+    named: RefCell<AdvertisedControlBoxes>,
     /// Control boxes to which a connection is kept.
     kept: RefCell<BTreeSet<SocketAddr>>,
     /// Connections that are open.
@@ -122,7 +122,7 @@
     let mut round: u64 = 0;
     let mut use_told = clock::now();
     loop {
-        follower.entry.timers.sleep(LOADS_EVERY).await;
+        follower.entry.timers.sleep(LOAD_REPORT_INTERVAL).await;
         if follower.said_done.get() {
             continue;
         }
@@ -135,14 +135,14 @@
             follower.say_done();
             continue;
         }
-        if clock::elapsed(use_told) < USE_EVERY {
+        if clock::elapsed(use_told) < USAGE_REPORT_INTERVAL {
             continue;
         }
         use_told = clock::now();
         round += 1;
-        let report = follower.report(round.is_multiple_of(TELL_ALL_EVERY));
-        follower.send_to_all(FromEntry::Use(report));
-        if clock::elapsed(pinged) >= PING_EVERY {
+        let report = follower.report(round.is_multiple_of(USAGE_REPORTS_PER_FULL));
+        follower.send_to_all(FromEntry::Usage(report));
+        if clock::elapsed(pinged) >= PING_INTERVAL {
             pinged = clock::now();
             let sent_us = follower.steady_us();
             follower.open.borrow().values().for_each(|link| link.ping(sent_us));
@@ -195,10 +195,10 @@
             None => self.entry.metrics.datagrams_dropped.inc(),
         };
         let timers = &self.entry.timers;
-        let silence = IdleTimeouts { host: SILENCE_MOST, process: BUSY_MOST };
+        let silence = IdleTimeouts { host: HOST_SILENCE_TIMEOUT, process: PROCESS_SILENCE_TIMEOUT };
         let why = frames::drive(timers, &stream, &outgoing, silence, on_frame).await;
         let link = self.open.borrow_mut().remove(&address);
-        self.source.borrow_mut().lost(address);
+        self.source.borrow_mut().disconnected(address);
         self.choose_tellers();
         Line::new("control_lost")
             .with("address", address)
@@ -212,7 +212,7 @@
             name: self.entry.settings.name.clone(),
             boot: self.entry.boot(),
             configuration: self.entry.version(),
-            known: self.entry.quotas.known_boxes(),
+            known: self.entry.quotas.known_entry_boxes(),
         }
     }
 
@@ -222,7 +222,7 @@
         link.send(FromEntry::OfferConfigurations);
         link.send(FromEntry::Leaving(self.leaving()));
         self.tell_all_that_is_told_once(link);
-        link.send(FromEntry::Use(self.report(true)));
+        link.send(FromEntry::Usage(self.report(true)));
         link.ping(self.steady_us());
         Line::new("control_connected")
             .with("address", address)
@@ -235,7 +235,7 @@
         link.pinged.set(None);
         if link.missed.replace(false) {
             self.tell_all_that_is_told_once(link);
-            link.send(FromEntry::Use(self.report(true)));
+            link.send(FromEntry::Usage(self.report(true)));
             link.ping(self.steady_us());
         }
     }
@@ -260,7 +260,7 @@
         match message {
             ToEntry::Hello { availability_zone } => {
                 if let Some(link) = self.open.borrow().get(&from) {
-                    link.at_home.set(availability_zone == self.entry.settings.availability_zone);
+                    link.same_zone.set(availability_zone == self.entry.settings.availability_zone);
                     self.introduce(from, link);
                 }
                 self.choose_tellers();
@@ -281,7 +281,7 @@
                 self.ask_for_configuration();
             }
             ToEntry::ConfigurationAgreed { version } => {
-                self.source.borrow_mut().offered(from, version);
+                self.source.borrow_mut().record_offer(from, version);
                 self.ask_for_configuration();
             }
             ToEntry::ConfigurationChange(change) => {
@@ -299,13 +299,13 @@
                 work_at_endpoints::learn_loads(&self.entry, whole, &loads, &self.told.borrow());
             }
             ToEntry::QuarantineRecords(findings) => quarantine::merge(&self.entry, &findings),
-            ToEntry::Limits(told) => limits::learn(&self.entry, &told),
+            ToEntry::Limits(told) => limits::merge(&self.entry, &told),
             ToEntry::BoxNumber(number) => self.learn_box_number(from, number),
             ToEntry::Parts(parts) => work_at_endpoints::learn_parts(&self.entry, &parts),
-            ToEntry::OthersUse { as_of, heard, known, quotas } => {
+            ToEntry::OthersUsage { as_of, reporting: heard, known, quotas } => {
                 self.entry.share_retries(known);
                 let sharers = Sharers { heard, known };
-                self.entry.quotas.learn(self.entry.cluster_time(), as_of, sharers, &quotas);
+                self.entry.quotas.apply_update(self.entry.cluster_time(), as_of, sharers, &quotas);
             }
         }
     }
@@ -316,7 +316,7 @@
             return;
         }
         let is_open = |address: &SocketAddr| self.open.borrow().contains_key(address);
-        self.named.borrow_mut().learn(from, named, is_open);
+        self.named.borrow_mut().record(from, named, is_open);
         let all = self.named.borrow().all();
         self.keep(all);
     }
@@ -344,10 +344,10 @@
         let open = self.open.borrow();
         let preferred = open.iter().find(|(_, link)| link.wanted.get().loads);
         let preferred = preferred.map(|(address, _)| *address);
-        let of = self.source.borrow_mut().ask(clock::now(), own, preferred);
+        let of = self.source.borrow_mut().next_request(clock::now(), own, preferred);
         if let Some(link) = of.and_then(|of| open.get(&of)) {
             let have = if self.whole_wanted.get() { 0 } else { own };
-            link.send(FromEntry::WantConfiguration { have });
+            link.send(FromEntry::RequestConfiguration { have });
         }
     }
 
@@ -355,8 +355,9 @@
     fn choose_tellers(&self) {
         let open = self.open.borrow();
         let taken_in = open.iter().filter(|(_, link)| link.taken_in.get());
-        let known: Vec<Teller> = taken_in.map(|(address, link)| link.teller(*address)).collect();
-        let chosen = tellers::choose(&self.entry.settings.name, &known);
+        let known: Vec<Publisher> =
+            taken_in.map(|(address, link)| link.publisher(*address)).collect();
+        let chosen = publishers::choose(&self.entry.settings.name, &known);
         for (address, link) in open.iter() {
             let wanted = Wanted {
                 quotas: chosen.contains(address),
@@ -365,7 +366,7 @@
             };
             if link.wanted.replace(wanted) != wanted {
                 self.told_by_since.set(clock::now());
-                link.send(FromEntry::Tell(wanted));
+                link.send(FromEntry::Subscribe(wanted));
                 log::debug!("event=teller address={address} wanted={wanted:?}");
             }
         }
@@ -416,7 +417,7 @@
         let report = self.report(true);
         for link in self.open.borrow().values().filter(|link| link.taken_in.get()) {
             // Also to one that is behind: there will be no later report.
-            link.send(FromEntry::Use(report.clone()));
+            link.send(FromEntry::Usage(report.clone()));
             link.send(FromEntry::Done);
         }
     }
@@ -429,26 +430,29 @@
     }
 
     /// What this box's requests used: all that is remembered, or the latest.
-    fn report(&self, all: bool) -> UseReport {
-        let (slots, windows) =
-            if all { (SLOTS_KEPT, WINDOWS_KEPT) } else { (SLOTS_TOLD, WINDOWS_TOLD) };
+    fn report(&self, all: bool) -> UsageReport {
+        let (slots, windows) = if all {
+            (SLOTS_KEPT, RETAINED_WINDOWS)
+        } else {
+            (SLOTS_PER_REPORT, WINDOWS_PER_REPORT)
+        };
         let now = self.entry.cluster_time();
         let first = vaneway_quota::slot(now).saturating_sub(slots);
-        let used = self.entry.used.borrow();
+        let used = self.entry.usage.borrow();
         let (windows, knows_time) = (used.windows(windows), used.clock().is_some());
         drop(used);
-        UseReport {
+        UsageReport {
             at: knows_time.then_some(now),
             windows,
-            quotas: self.entry.quotas.own_use(now, first, all),
+            quotas: self.entry.quotas.own_usage(now, first, all),
             loads: all.then(|| work_at_endpoints::open_loads(&self.entry)),
-            work: self.entry.used.borrow_mut().work(),
+            work: self.entry.usage.borrow_mut().work(),
         }
     }
 
     /// Microseconds of this box's steady clock, from any fixed time on.
     fn steady_us(&self) -> u64 {
-        self.entry.up().as_micros() as u64
+        self.entry.uptime().as_micros() as u64
     }
 
     /// Estimates the cluster's time as in the middle of the exchange; the shortest round trip of
@@ -464,17 +468,17 @@
         }
         self.clock_from.set(Some((round_trip, now)));
         let clock = ClusterTime::new(now, Duration::from_micros(time_us) + round_trip / 2);
-        let before = self.entry.used.borrow().clock();
+        let before = self.entry.usage.borrow().clock();
         let step = before.map_or(Duration::ZERO, |before| {
             before.since_epoch(now).abs_diff(clock.since_epoch(now))
         });
         if step > CLOCK_STEP {
             Line::new("cluster_time_stepped").with("by_ms", step.as_millis()).warn();
         }
-        self.entry.used.borrow_mut().set_clock(clock, self.settings.window);
+        self.entry.usage.borrow_mut().set_clock(clock, self.settings.window);
         if before.is_none() {
             // Only reports with a time let this box count among those that share quotas.
-            self.send_to_all(FromEntry::Use(self.report(true)));
+            self.send_to_all(FromEntry::Usage(self.report(true)));
         }
     }
 }
--- a/crates/vaneway-server/src/core/cluster/mod.rs
+++ b/crates/vaneway-server/src/core/cluster/mod.rs
@@ -4,18 +4,18 @@
 //! - [`wire`]: the messages between entry and control boxes;
 //! - [`reconnect`]: connections to other boxes that are opened again whenever they break;
 //! - [`follow`]: how an entry box follows the control boxes, over `control_link`;
-//! - [`named_control_boxes`]: which control boxes it follows;
+//! - [`advertised_control_boxes`]: which control boxes it follows;
 //! - [`configuration_source`]: which of them it asks for a configuration;
-//! - [`tellers`]: which of them tell it what the others use;
+//! - [`publishers`]: which of them tell it what the others use;
 //! - [`work_at_endpoints`]: what it tells and learns of the work at endpoints.
 
+pub mod advertised_control_boxes;
 pub mod configuration_source;
 mod control_link;
 pub mod datagram;
 pub mod follow;
 pub mod marks;
-pub mod named_control_boxes;
+pub mod publishers;
 pub mod reconnect;
-pub mod tellers;
 pub mod wire;
 pub mod work_at_endpoints;
--- a/crates/vaneway-server/src/core/cluster/tellers.rs
+++ b/crates/vaneway-server/src/core/cluster/publishers.rs
@@ -11,15 +11,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::core::cluster::wire::PING_EVERY;
-use crate::core::cluster::wire::USE_EVERY;
+use crate::core::cluster::wire::PING_INTERVAL;
+use crate::core::cluster::wire::USAGE_REPORT_INTERVAL;
 use crate::util::hash;
 
 /// Control boxes that tell an entry box at a time.
-pub const TELLERS: usize = 2;
+pub const MAX_PUBLISHERS: usize = 2;
 
 /// Silence after which a control box is taken to tell nothing more: one sign of life and one telling.
-const LATE_AFTER: Duration = PING_EVERY.saturating_add(USE_EVERY).saturating_add(WAY);
+const LATE_AFTER: Duration =
+    PING_INTERVAL.saturating_add(USAGE_REPORT_INTERVAL).saturating_add(WAY);
 
 /// Time on the way between two availability zones that is no cause to take a box for late.
 const WAY: Duration = Duration::from_millis(50);
@@ -30,27 +31,27 @@
 
 /// A control box to which there is a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Teller {
+pub struct Publisher {
     /// Its address for other boxes.
     pub address: SocketAddr,
     /// Whether it stands in the entry box's availability zone, where bytes cost nothing.
-    pub at_home: bool,
+    pub same_zone: bool,
     /// Time since anything came from it.
-    pub silent: Duration,
+    pub since_last_message: Duration,
     /// Age of the connection.
-    pub connected: Duration,
+    pub connection_age: Duration,
 }
 
 /// The control boxes of `known` that are to tell the entry box `name`, the best first. Among equals each
 /// entry box has an order of its own, so that their work is spread.
-pub fn choose(name: &str, known: &[Teller]) -> Vec<SocketAddr> {
+pub fn choose(name: &str, known: &[Publisher]) -> Vec<SocketAddr> {
     let order = |address: SocketAddr| hash::of((name, address));
     let mut known = known.to_vec();
-    known.sort_by_key(|teller| {
-        let late = teller.silent > LATE_AFTER;
-        let settled = teller.connected >= SETTLED_AFTER;
-        (late, !settled, !teller.at_home, order(teller.address))
+    known.sort_by_key(|publisher| {
+        let late = publisher.since_last_message > LATE_AFTER;
+        let settled = publisher.connection_age >= SETTLED_AFTER;
+        (late, !settled, !publisher.same_zone, order(publisher.address))
     });
-    known.truncate(TELLERS);
-    known.into_iter().map(|teller| teller.address).collect()
+    known.truncate(MAX_PUBLISHERS);
+    known.into_iter().map(|publisher| publisher.address).collect()
 }
--- a/crates/vaneway-server/src/core/cluster/reconnect.rs
+++ b/crates/vaneway-server/src/core/cluster/reconnect.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::core::cluster::wire::CONNECT_WITHIN;
+use crate::core::cluster::wire::CONNECT_TIMEOUT;
 use crate::core::cluster::wire::RECONNECT_AFTER;
 use crate::util::clock;
 use crate::util::hash;
@@ -31,24 +31,25 @@
     run: impl AsyncFn(SocketStream),
 ) {
     let mut opened: u64 = 0;
-    let mut useless: u32 = 0;
+    let mut short_lived: u32 = 0;
     while wanted() {
-        match socket::connect_timeout(timers, address, CONNECT_WITHIN).await {
+        match socket::connect_timeout(timers, address, CONNECT_TIMEOUT).await {
             Ok(stream) => {
                 let begun = clock::now();
                 run(stream).await;
-                useless = if clock::elapsed(begun) < USEFUL_AFTER { useless + 1 } else { 0 };
+                short_lived =
+                    if clock::elapsed(begun) < USEFUL_AFTER { short_lived + 1 } else { 0 };
             }
             // Nobody was troubled by it, so that the next try need not be later.
             Err(error) => log::debug!("event=box_unreachable address={address} error={error:?}"),
         }
         opened += 1;
-        timers.sleep(pause(useless, hash::fraction((seed, address, opened)))).await;
+        timers.sleep(reconnect_delay(short_lived, hash::fraction((seed, address, opened)))).await;
     }
 }
 
 /// The pause after so many useless connections in a row; `draw` is from 0 to 1.
-pub fn pause(useless: u32, draw: f64) -> Duration {
-    let doubled = RECONNECT_AFTER * 2_u32.saturating_pow(useless.saturating_sub(1).min(8));
+pub fn reconnect_delay(short_lived: u32, draw: f64) -> Duration {
+    let doubled = RECONNECT_AFTER * 2_u32.saturating_pow(short_lived.saturating_sub(1).min(8));
     doubled.min(RECONNECT_AFTER_MOST).mul_f64(0.5 + draw)
 }
--- a/crates/vaneway-server/src/core/cluster/wire.rs
+++ b/crates/vaneway-server/src/core/cluster/wire.rs
@@ -18,49 +18,49 @@
 use vaneway_quarantine::QuarantineRecord;
 use vaneway_registry::Report;
 
+use crate::core::cached_parts::CachedParts;
 use crate::core::configuration::Configuration;
 use crate::core::configuration::Version;
 use crate::core::configuration_change::ConfigurationChange;
-use crate::core::kept_parts::KeptParts;
 use crate::core::loads::Loads;
-use crate::core::quota_use::OthersQuotaUse;
-use crate::core::usage::UseReport;
+use crate::core::quota_usage::OthersQuotaUsage;
+use crate::core::usage::UsageReport;
 use crate::util::send_queue::Topic;
 
 /// Time between two tellings of what requests used, in either direction. With one from the entry box and one from
 /// the control box, and the time on the way, it must stay well below the age up to which quotas go by the use
 /// of all boxes.
-pub const USE_EVERY: Duration = Duration::from_millis(100);
+pub const USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between two tellings of what is open at endpoints, in either direction. An endpoint serves a request
 /// every 20 to 200 ms, so that older news sends too many boxes to the same one (docs/DECISIONS.md,
 /// "Telling").
-pub const LOADS_EVERY: Duration = Duration::from_millis(50);
+pub const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Tellings of loads after which all are told, for whoever missed some.
-pub const TELL_ALL_LOADS_EVERY: u64 = 20;
+pub const LOAD_REPORTS_PER_FULL: u64 = 20;
 
 /// Slots of quotas that each telling repeats.
-pub const SLOTS_TOLD: u64 = 2;
+pub const SLOTS_PER_REPORT: u64 = 2;
 
 /// Accounting windows that each telling repeats: the present one, and the one before, whose last requests
 /// may have begun since the last telling.
-pub const WINDOWS_TOLD: usize = 2;
+pub const WINDOWS_PER_REPORT: usize = 2;
 
 /// Tellings after which all slots and windows are repeated, for whoever missed some.
-pub const TELL_ALL_EVERY: u64 = 18;
+pub const USAGE_REPORTS_PER_FULL: u64 = 18;
 
 /// Time between two signs of life on a connection.
-pub const PING_EVERY: Duration = Duration::from_millis(400);
+pub const PING_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Silence after which a connection counts as broken: of the other box's system, which answers for it while its
 /// process is busy, and of another control box, whose signs of life go before all else.
-pub const SILENCE_MOST: Duration = Duration::from_millis(1_500);
+pub const HOST_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Silence of a process after which a connection between an entry and a control box counts as broken. While its
 /// system answers, it is busy: who goes and comes again only gives it more to do. Long enough for a
 /// control box with 0.06 of a core to take in 300 entry boxes.
-pub const BUSY_MOST: Duration = Duration::from_secs(8);
+pub const PROCESS_SILENCE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Age of a ping without an answer from which on an entry box tells a control box no more until the answer
 /// comes: what it has told is not taken in yet, and what it would tell now is told later with newer
@@ -69,22 +69,22 @@
 
 /// Longest wait for a connection to open: one round trip between regions. A box without power
 /// answers nothing, and when it is back the next try must not be far.
-pub const CONNECT_WITHIN: Duration = Duration::from_millis(250);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Pause before a connection that broke is opened again.
 pub const RECONNECT_AFTER: Duration = Duration::from_millis(75);
 
 /// The configuration, or a change of it, for an entry box.
-pub const CONFIGURATION: Topic = Topic(0);
+pub const CONFIGURATION_TOPIC: Topic = Topic(0);
 
 /// The version of the configuration that is agreed on, for an entry box.
-pub const CONFIGURATION_AGREED: Topic = Topic(1);
+pub const CONFIGURATION_VERSION_TOPIC: Topic = Topic(1);
 
 /// Entries of the agreement for another control box: each message has all that the one before it had.
-pub const ENTRIES: Topic = Topic(2);
+pub const LOG_ENTRIES_TOPIC: Topic = Topic(2);
 
 /// A snapshot of the agreement for another control box. Apart from entries, since heartbeats follow it.
-pub const SNAPSHOT: Topic = Topic(3);
+pub const SNAPSHOT_TOPIC: Topic = Topic(3);
 
 /// A message of an entry box to a control box.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -110,16 +110,16 @@
     /// know, and would take a late heartbeat for a new endpoint.
     Leaving(Vec<Report>),
     /// What my requests used.
-    Use(UseReport),
-    /// What I have open now at the endpoints where it changed since I last told; [`FromEntry::Use`] tells
+    Usage(UsageReport),
+    /// What I have open now at the endpoints where it changed since I last told; [`FromEntry::Usage`] tells
     /// all of it now and then.
     Loads(Loads),
     /// Prompt parts that my requests brought to endpoints.
-    Parts(KeptParts),
+    Parts(CachedParts),
     /// I stop as planned, and what I told before is all that my requests will have used.
     Done,
     /// What I want to be told of the other entry boxes; nothing until I say so.
-    Tell(Wanted),
+    Subscribe(Wanted),
     /// Requests under which endpoints ended, as far as it is news.
     QuarantineRecords(Vec<QuarantineRecord>),
     /// Limits that endpoints named in answers to me, as far as it is news.
@@ -128,7 +128,7 @@
     /// ping is told the configurations themselves.
     OfferConfigurations,
     /// Send me the configuration that is agreed on, or how it differs from the version that I have; 0 for all of it.
-    WantConfiguration {
+    RequestConfiguration {
         /// The version.
         have: Version,
     },
@@ -163,16 +163,16 @@
     /// The control boxes, by the addresses for other boxes.
     ControlBoxes(Vec<SocketAddr>),
     /// What the other entry boxes use, as this control box knows.
-    OthersUse {
+    OthersUsage {
         /// The cluster's time until which the use of all boxes that are heard is in this; none if this control
         /// box can't tell, or the receiver isn't among them.
         as_of: Option<Duration>,
         /// Entry boxes whose use this control box hears.
-        heard: u32,
+        reporting: u32,
         /// Entry boxes that may be there, also those that it lost lately.
         known: u32,
         /// Use by organisation.
-        quotas: Vec<(String, OthersQuotaUse)>,
+        quotas: Vec<(String, OthersQuotaUsage)>,
     },
     /// What all entry boxes have open at endpoints, the receiver among them: the same bytes for all of
     /// them.
@@ -183,7 +183,7 @@
         loads: Loads,
     },
     /// Prompt parts that requests of any entry box brought to endpoints.
-    Parts(KeptParts),
+    Parts(CachedParts),
     /// Requests under which endpoints ended, at any entry box.
     QuarantineRecords(Vec<QuarantineRecord>),
     /// Limits that endpoints named in answers to any entry box.
--- a/crates/vaneway-server/src/core/cluster/work_at_endpoints.rs
+++ b/crates/vaneway-server/src/core/cluster/work_at_endpoints.rs
@@ -6,8 +6,8 @@
 use vaneway_route::Load;
 use vaneway_route::PartId;
 
+use crate::core::cached_parts::CachedParts;
 use crate::core::entry::Entry;
-use crate::core::kept_parts::KeptParts;
 use crate::core::loads::Loads;
 use crate::util::clock;
 
@@ -52,7 +52,7 @@
 }
 
 /// Prompt parts that requests of this box brought to registered endpoints, where that is news.
-pub fn take_brought(entry: &Entry) -> KeptParts {
+pub fn take_brought(entry: &Entry) -> CachedParts {
     let mut pool = entry.pool.borrow_mut();
     let mut parts = BTreeMap::<InstanceId, Vec<PartId>>::new();
     for (endpoint, part) in pool.take_brought() {
--- a/crates/vaneway-server/src/core/configuration.rs
+++ b/crates/vaneway-server/src/core/configuration.rs
@@ -146,9 +146,11 @@
     /// Most bytes of a request's body.
     pub body_bytes: usize,
     /// How long a request's head may take from its first byte.
-    pub header_within: Duration,
+    #[serde(rename = "header_within")]
+    pub header_timeout: Duration,
     /// How long a connection may rest between requests.
-    pub idle_within: Duration,
+    #[serde(rename = "idle_within")]
+    pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
@@ -156,8 +158,8 @@
         Self {
             header_bytes: 16 << 10,
             body_bytes: 4 << 20,
-            header_within: Duration::from_secs(30),
-            idle_within: Duration::from_secs(30),
+            header_timeout: Duration::from_secs(30),
+            idle_timeout: Duration::from_secs(30),
         }
     }
 }
--- a/crates/vaneway-server/src/core/control/capacity.rs
+++ b/crates/vaneway-server/src/core/control/capacity.rs
@@ -24,7 +24,7 @@
 use crate::core::control::protocol::CloudProtocol;
 use crate::core::control::state::Control;
 use crate::core::control::telling;
-use crate::core::hearing::News;
+use crate::core::report_tracker::ReportCoverage;
 use crate::core::settings::CloudSettings;
 use crate::util::clock;
 use crate::util::logline::Line;
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, Copy)]
 struct SeenDemand {
     demand: Demand,
-    news: News,
+    news: ReportCoverage,
 }
 
 /// The planners of the services for which replicas may be ordered.
@@ -126,7 +126,7 @@
         let mut input = input(control, &service.name, spec);
         let seen = self.demand(control, service, input.running.values().sum());
         let replicas = seen.map(|seen| seen.demand.replicas());
-        input.demand = replicas.filter(|_| seen.is_some_and(|seen| seen.news.is_whole()));
+        input.demand = replicas.filter(|_| seen.is_some_and(|seen| seen.news.is_complete()));
         if let Some(demand) = replicas.filter(|demand| *demand > 0.0) {
             let runs = self.rates.get(&service.name).map_or(0.0, |rates| rates.runs);
             input.limited = limited(control, &service.name, runs / demand);
@@ -143,7 +143,7 @@
         running: u32,
     ) -> Option<SeenDemand> {
         let engine = service.engine.as_ref()?;
-        let ledger = control.use_ledger.borrow();
+        let ledger = control.usage_ledger.borrow();
         let told = ledger.rates(control.now(), &service.name);
         if told.runs > 0.0 {
             self.seen_since.entry(service.name.clone()).or_insert_with(clock::now);
@@ -154,11 +154,11 @@
             return None;
         }
         let size = EngineSize { places: engine.slots, memory: engine.memory_tokens };
-        let news = ledger.news_of_work(control.now(), telling::sharers(control).known);
-        let News { heard, known, .. } = news;
+        let news = ledger.work_coverage(control.now(), telling::sharers(control).known);
+        let ReportCoverage { reporting, known, .. } = news;
         let last = self.rates.get(&service.name).copied();
-        let rates = told.of_all(heard, known, last)?;
-        if heard >= known {
+        let rates = told.of_all(reporting, known, last)?;
+        if reporting >= known {
             self.rates.insert(service.name.clone(), told);
         }
         let settled = clock::elapsed(since) >= SETTLED_AFTER;
@@ -168,7 +168,7 @@
 
 /// Tells the planner of a service of a demand that was not seen in full: it may order more by that, not less.
 fn learn_least(planner: &mut Planner, seen: Option<SeenDemand>) {
-    if let Some(SeenDemand { demand, .. }) = seen.filter(|seen| !seen.news.is_whole()) {
+    if let Some(SeenDemand { demand, .. }) = seen.filter(|seen| !seen.news.is_complete()) {
         planner.learn_least(clock::now(), demand.replicas());
     }
 }
@@ -177,7 +177,7 @@
 fn with_demand(line: Line, seen: Option<SeenDemand>, control: &Control) -> Line {
     let Some(SeenDemand { demand, news }) = seen else {
         let known = telling::sharers(control).known;
-        let news = control.use_ledger.borrow().news_of_work(control.now(), known);
+        let news = control.usage_ledger.borrow().work_coverage(control.now(), known);
         return with_news(line.with("demand", "unknown"), news);
     };
     let replicas = |count: f64| format!("{count:.2}");
@@ -190,11 +190,11 @@
 }
 
 /// Adds whose news a decision goes by.
-fn with_news(line: Line, news: News) -> Line {
-    line.with("heard", news.heard)
-        .with("throughout", news.throughout)
+fn with_news(line: Line, news: ReportCoverage) -> Line {
+    line.with("heard", news.reporting)
+        .with("throughout", news.reporting_throughout)
         .with("known", news.known)
-        .with("news_ms_old", news.age.as_millis())
+        .with("news_ms_old", news.oldest_age.as_millis())
 }
 
 /// What runs of a service and what may be ordered; the demand is filled in later.
--- a/crates/vaneway-server/src/core/control/duties.rs
+++ b/crates/vaneway-server/src/core/control/duties.rs
@@ -24,7 +24,7 @@
 use crate::core::control::telling;
 use crate::core::endpoints::link::EndpointRequest;
 use crate::core::settings::CloudSettings;
-use crate::core::usage::UseLedger;
+use crate::core::usage::UsageLedger;
 use crate::util::clock;
 use crate::util::logline::Line;
 
@@ -91,15 +91,15 @@
 
 /// Whether a window that ended has to be reported by this box: it was up in it, or entry boxes tell of
 /// requests in it. The latter also holds for a window that ended while all control boxes were down.
-pub fn is_due(ledger: &UseLedger, reported: bool, first: Window, window: Window) -> bool {
+pub fn is_due(ledger: &UsageLedger, reported: bool, first: Window, window: Window) -> bool {
     !reported && (window >= first || ledger.has_window(window))
 }
 
 /// Whether all that was used from `begin` to `end` is heard, where `known` entry boxes may be there: each has told something
 /// since. If none has, nothing is known of it.
-pub fn is_whole(ledger: &UseLedger, begin: Duration, end: Duration, known: u32) -> bool {
+pub fn is_whole(ledger: &UsageLedger, begin: Duration, end: Duration, known: u32) -> bool {
     let (first, last) = (vaneway_quota::slot(begin), vaneway_quota::slot(end));
-    !ledger.misses_entries(first, last) && ledger.told_since(last) >= known.max(1)
+    !ledger.awaits_reports(first, last) && ledger.reporters_since(last) >= known.max(1)
 }
 
 /// Fixes the counts of windows that ended and have no report yet; `first` is the window in which this
@@ -108,23 +108,23 @@
     let length = control.settings.window;
     for window in present.saturating_sub(WINDOWS_BACK)..present {
         let reported = control.machine.borrow().usage().contains_key(&window);
-        if !is_due(&control.use_ledger.borrow(), reported, first, window) {
+        if !is_due(&control.usage_ledger.borrow(), reported, first, window) {
             continue;
         }
         let begin = Duration::from_millis(window * length.as_millis() as u64);
         let end = begin + length;
         let known = telling::sharers(control).known;
         let since_end = control.time().saturating_sub(end);
-        let is_whole = is_whole(&control.use_ledger.borrow(), begin, end, known);
+        let is_whole = is_whole(&control.usage_ledger.borrow(), begin, end, known);
         if since_end < if is_whole { FIX_AFTER } else { FIX_LATEST } {
             continue;
         }
-        let counts = control.use_ledger.borrow().counts(window);
+        let counts = control.usage_ledger.borrow().counts(window);
         Line::new("usage_fixed")
             .with("window", window)
             .with("requests", counts.values().sum::<u64>())
             .with("whole", is_whole)
-            .with("heard", control.use_ledger.borrow().told_since(vaneway_quota::slot(end)))
+            .with("heard", control.usage_ledger.borrow().reporters_since(vaneway_quota::slot(end)))
             .with("known", known)
             .with("ended_ms_ago", since_end.as_millis())
             .info();
--- a/crates/vaneway-server/src/core/control/links.rs
+++ b/crates/vaneway-server/src/core/control/links.rs
@@ -10,12 +10,12 @@
 use vaneway_agreement::NodeId;
 use vaneway_limit::BoxNumber;
 
-use crate::core::cluster::wire::BUSY_MOST;
 use crate::core::cluster::wire::BetweenControl;
-use crate::core::cluster::wire::CONFIGURATION;
-use crate::core::cluster::wire::CONFIGURATION_AGREED;
+use crate::core::cluster::wire::CONFIGURATION_TOPIC;
+use crate::core::cluster::wire::CONFIGURATION_VERSION_TOPIC;
 use crate::core::cluster::wire::FromEntry;
-use crate::core::cluster::wire::SILENCE_MOST;
+use crate::core::cluster::wire::HOST_SILENCE_TIMEOUT;
+use crate::core::cluster::wire::PROCESS_SILENCE_TIMEOUT;
 use crate::core::cluster::wire::ToControl;
 use crate::core::cluster::wire::ToEntry;
 use crate::core::cluster::wire::Wanted;
@@ -27,7 +27,7 @@
 use crate::core::control::remembered;
 use crate::core::control::state::Control;
 use crate::core::control::telling;
-use crate::core::entry_start::EntryStart;
+use crate::core::entry_incarnation::EntryIncarnation;
 use crate::util::clock;
 use crate::util::frames;
 use crate::util::frames::EncodedFrame;
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct EntryLink {
     /// Who it is.
-    pub start: EntryStart,
+    pub start: EntryIncarnation,
     pub(super) outgoing: SendQueue,
     /// What it wants to be told of the others.
     pub(super) wanted: Cell<Wanted>,
@@ -91,7 +91,9 @@
     let offer = EncodedFrame::new(&ToEntry::ConfigurationAgreed { version });
     for entry in control.entries.borrow().values() {
         match entry.configurations.get() {
-            Configurations::Offered => entry.outgoing.send_newest(CONFIGURATION_AGREED, &offer),
+            Configurations::Offered => {
+                entry.outgoing.send_newest(CONFIGURATION_VERSION_TOPIC, &offer)
+            }
             Configurations::Sent => send_configuration(control, entry, 0),
             Configurations::Unknown => {}
         }
@@ -105,7 +107,7 @@
         return;
     };
     let answer = control.changes.borrow_mut().answer(&held.configuration, have);
-    entry.outgoing.send_newest(CONFIGURATION, &answer);
+    entry.outgoing.send_newest(CONFIGURATION_TOPIC, &answer);
 }
 
 /// Offers the configuration that is agreed on from now on to an entry box, which asks for it.
@@ -114,7 +116,7 @@
     let version = control.machine.borrow().version();
     if version > 0 {
         let offer = EncodedFrame::new(&ToEntry::ConfigurationAgreed { version });
-        entry.outgoing.send_newest(CONFIGURATION_AGREED, &offer);
+        entry.outgoing.send_newest(CONFIGURATION_VERSION_TOPIC, &offer);
     }
 }
 
@@ -130,7 +132,7 @@
 #[derive(Debug)]
 enum Sender {
     Unknown,
-    Entry { link: u64, start: EntryStart },
+    Entry { link: u64, start: EntryIncarnation },
     Control { node: NodeId },
 }
 
@@ -151,13 +153,13 @@
         }
         received(&control, &outgoing, &mut sender, message);
     };
-    let silence = IdleTimeouts { host: SILENCE_MOST, process: BUSY_MOST };
+    let silence = IdleTimeouts { host: HOST_SILENCE_TIMEOUT, process: PROCESS_SILENCE_TIMEOUT };
     let why = frames::drive(&control.timers, &stream, &outgoing, silence, on_frame).await;
     if let Sender::Entry { link, start } = sender {
         control.entries.borrow_mut().remove(&link);
         // It may have connected again before this connection was found to be lost.
         if !control.entries.borrow().values().any(|link| link.start == start) {
-            control.use_ledger.borrow_mut().loads().remove(&start);
+            control.usage_ledger.borrow_mut().loads().remove(&start);
         }
         Line::new("entry_lost").with("entry", start.0).with("why", why).info();
     }
@@ -186,19 +188,19 @@
         ToControl::Entry(FromEntry::Leaving(reports)) => {
             news::learn_endpoints(control, &reports, Source::Entry);
         }
-        ToControl::Entry(FromEntry::Use(report)) => {
+        ToControl::Entry(FromEntry::Usage(report)) => {
             if let Sender::Entry { start, .. } = sender {
                 let now = control.now();
-                control.use_ledger.borrow_mut().merge(now, start, &report);
+                control.usage_ledger.borrow_mut().merge(now, start, &report);
             }
         }
         ToControl::Entry(FromEntry::Loads(loads)) => {
             if let Sender::Entry { start, .. } = sender {
-                control.use_ledger.borrow_mut().loads().update(start, &loads);
+                control.usage_ledger.borrow_mut().loads().update(start, &loads);
             }
         }
         ToControl::Entry(FromEntry::Parts(parts)) => {
-            control.parts.borrow_mut().learn(clock::now(), &parts);
+            control.parts.borrow_mut().record(clock::now(), &parts);
         }
         ToControl::Entry(FromEntry::QuarantineRecords(findings)) => {
             news::learn_findings(control, &findings, Source::Entry);
@@ -211,18 +213,18 @@
                 offer_configurations(control, &entry);
             }
         }
-        ToControl::Entry(FromEntry::WantConfiguration { have }) => {
+        ToControl::Entry(FromEntry::RequestConfiguration { have }) => {
             if let Some(entry) = entry_of(control, sender) {
                 send_configuration(control, &entry, have);
             }
         }
         ToControl::Entry(FromEntry::Done) => {
             if let Sender::Entry { start, .. } = sender {
-                control.use_ledger.borrow_mut().end_start(start);
+                control.usage_ledger.borrow_mut().mark_done(start);
                 Line::new("entry_done").with("entry", &start.0).with("boot", start.1).info();
             }
         }
-        ToControl::Entry(FromEntry::Tell(wanted)) => {
+        ToControl::Entry(FromEntry::Subscribe(wanted)) => {
             if let Sender::Entry { link, .. } = sender {
                 telling::tell_from_now_on(control, *link, wanted);
             }
@@ -240,7 +242,12 @@
 }
 
 /// Takes an entry box in and tells it all that it must know; it has the version `had` of the configuration.
-fn welcome(control: &Control, outgoing: &SendQueue, start: EntryStart, had: Version) -> Sender {
+fn welcome(
+    control: &Control,
+    outgoing: &SendQueue,
+    start: EntryIncarnation,
+    had: Version,
+) -> Sender {
     control.next_link.update(|link| link + 1);
     let link = control.next_link.get();
     Line::new("entry_connected").with("entry", &start.0).with("boot", start.1).info();
--- a/crates/vaneway-server/src/core/control/news.rs
+++ b/crates/vaneway-server/src/core/control/news.rs
@@ -121,7 +121,7 @@
         let change = control.registry.borrow_mut().merge(now, report);
         if born_before > 0 && control.registry.borrow().born(&report.instance) > born_before {
             // It holds nothing of what the incarnation before kept.
-            control.parts.borrow_mut().forget_endpoint(&report.instance);
+            control.parts.borrow_mut().remove_endpoint(&report.instance);
         }
         match change {
             Change::Updated => news.extend(control.registry.borrow().report(now, &report.instance)),
--- a/crates/vaneway-server/src/core/control/peers.rs
+++ b/crates/vaneway-server/src/core/control/peers.rs
@@ -16,10 +16,10 @@
 
 use crate::core::cluster::reconnect::keep_connected;
 use crate::core::cluster::wire::BetweenControl;
-use crate::core::cluster::wire::ENTRIES;
-use crate::core::cluster::wire::PING_EVERY;
-use crate::core::cluster::wire::SILENCE_MOST;
-use crate::core::cluster::wire::SNAPSHOT;
+use crate::core::cluster::wire::HOST_SILENCE_TIMEOUT;
+use crate::core::cluster::wire::LOG_ENTRIES_TOPIC;
+use crate::core::cluster::wire::PING_INTERVAL;
+use crate::core::cluster::wire::SNAPSHOT_TOPIC;
 use crate::core::cluster::wire::ToControl;
 use crate::core::control::links;
 use crate::core::control::news;
@@ -62,8 +62,8 @@
 fn topic(message: &BetweenControl) -> Option<Topic> {
     let BetweenControl::Agreement { message, .. } = message else { return None };
     match message {
-        Message::Append(_) => Some(ENTRIES),
-        Message::Install(_) => Some(SNAPSHOT),
+        Message::Append(_) => Some(LOG_ENTRIES_TOPIC),
+        Message::Install(_) => Some(SNAPSHOT_TOPIC),
         Message::PreVote { .. }
         | Message::PreVoteReply { .. }
         | Message::Vote { .. }
@@ -148,7 +148,7 @@
         Some(message) => news::learn_from_control(control, message),
         None => control.unreadable.update(|count| count + 1),
     };
-    let silence = IdleTimeouts { host: SILENCE_MOST, process: SILENCE_MOST };
+    let silence = IdleTimeouts { host: HOST_SILENCE_TIMEOUT, process: HOST_SILENCE_TIMEOUT };
     let why = frames::drive(&control.timers, &stream, &outgoing, silence, on_frame).await;
     if let Some(peer) = control.peers.borrow().get(&address) {
         *peer.outgoing.borrow_mut() = None;
@@ -179,7 +179,7 @@
     let mut refreshed_at = clock::now();
     let mut unreadable = 0;
     loop {
-        let due = clock::now() + PING_EVERY;
+        let due = clock::now() + PING_INTERVAL;
         control.timers.sleep_until(due).await;
         log_if_busy(&control, clock::elapsed(due));
         send_to_all(&control, ping(&control));
--- a/crates/vaneway-server/src/core/control/running.rs
+++ b/crates/vaneway-server/src/core/control/running.rs
@@ -192,7 +192,7 @@
         led_at: Cell::new(now),
         leads_since: Cell::new(None),
         remembered: RefCell::default(),
-        use_ledger: RefCell::default(),
+        usage_ledger: RefCell::default(),
         parts: RefCell::default(),
         quarantine: RefCell::default(),
         limits: RefCell::default(),
--- a/crates/vaneway-server/src/core/control/state.rs
+++ b/crates/vaneway-server/src/core/control/state.rs
@@ -26,6 +26,7 @@
 use vaneway_registry::Registry;
 use vaneway_registry::Report;
 
+use crate::core::cached_parts::PartLedger;
 use crate::core::cluster::wire::Wanted;
 use crate::core::cluster_time::ClusterNow;
 use crate::core::cluster_time::Window;
@@ -39,9 +40,8 @@
 use crate::core::control::store::Write;
 use crate::core::control::telling;
 use crate::core::endpoints::upstream::Connections;
-use crate::core::kept_parts::PartLedger;
 use crate::core::settings::ControlSettings;
-use crate::core::usage::UseLedger;
+use crate::core::usage::UsageLedger;
 use crate::util::clock;
 use crate::util::send_queue::BufferedBytes;
 use crate::util::timers::Timers;
@@ -131,7 +131,7 @@
     /// Endpoints that were ready before this box started, as its disk says.
     pub(crate) remembered: RefCell<Vec<Report>>,
     /// What the entry boxes told of their requests.
-    pub use_ledger: RefCell<UseLedger>,
+    pub usage_ledger: RefCell<UsageLedger>,
     /// Prompt parts that are kept at endpoints.
     pub(crate) parts: RefCell<PartLedger>,
     /// Requests under which endpoints ended, as entry boxes told.
--- a/crates/vaneway-server/src/core/control/telling.rs
+++ b/crates/vaneway-server/src/core/control/telling.rs
@@ -15,18 +15,18 @@
 use vaneway_quota::Slot;
 
 use crate::core::cluster::wire::BetweenControl;
-use crate::core::cluster::wire::LOADS_EVERY;
-use crate::core::cluster::wire::SLOTS_TOLD;
-use crate::core::cluster::wire::TELL_ALL_EVERY;
-use crate::core::cluster::wire::TELL_ALL_LOADS_EVERY;
+use crate::core::cluster::wire::LOAD_REPORT_INTERVAL;
+use crate::core::cluster::wire::LOAD_REPORTS_PER_FULL;
+use crate::core::cluster::wire::SLOTS_PER_REPORT;
 use crate::core::cluster::wire::ToEntry;
-use crate::core::cluster::wire::USE_EVERY;
+use crate::core::cluster::wire::USAGE_REPORT_INTERVAL;
+use crate::core::cluster::wire::USAGE_REPORTS_PER_FULL;
 use crate::core::cluster::wire::Wanted;
 use crate::core::control::links;
 use crate::core::control::links::EntryLink;
 use crate::core::control::peers;
 use crate::core::control::state::Control;
-use crate::core::entry_start::EntryStart;
+use crate::core::entry_incarnation::EntryIncarnation;
 use crate::core::limits;
 use crate::util::clock;
 use crate::util::frames::EncodedFrame;
@@ -42,14 +42,14 @@
     let mut boxes = Vec::new();
     let mut round: u64 = 0;
     loop {
-        control.timers.sleep(USE_EVERY).await;
+        control.timers.sleep(USAGE_REPORT_INTERVAL).await;
         round += 1;
         let now_boxes = links::control_boxes(&control);
         if boxes != now_boxes {
             links::send_to_entries(&control, &ToEntry::ControlBoxes(now_boxes.clone()));
         }
         boxes = now_boxes;
-        tell_use(&control, round.is_multiple_of(TELL_ALL_EVERY)).await;
+        tell_use(&control, round.is_multiple_of(USAGE_REPORTS_PER_FULL)).await;
         tell_box_numbers(&control).await;
     }
 }
@@ -77,11 +77,11 @@
 }
 
 /// When each connected entry box made its last report that is recent.
-fn heard_at(control: &Control, now: Duration) -> BTreeMap<EntryStart, Duration> {
-    let ledger = control.use_ledger.borrow();
+fn heard_at(control: &Control, now: Duration) -> BTreeMap<EntryIncarnation, Duration> {
+    let ledger = control.usage_ledger.borrow();
     let links = control.entries.borrow();
     let heard = links.values().filter_map(|link| {
-        let at = ledger.heard_at(now, &link.start)?;
+        let at = ledger.last_report_at(now, &link.start)?;
         Some((link.start.clone(), at))
     });
     heard.collect()
@@ -93,8 +93,11 @@
     if told.is_empty() {
         return;
     }
-    let first =
-        if all { 0 } else { control.use_ledger.borrow_mut().quotas().first_to_tell(SLOTS_TOLD) };
+    let first = if all {
+        0
+    } else {
+        control.usage_ledger.borrow_mut().quotas().first_slot_to_send(SLOTS_PER_REPORT)
+    };
     let news = QuotaNews::of(control, first);
     for link in told {
         control.turns.next().await;
@@ -113,13 +116,13 @@
 pub async fn tell_loads(control: Rc<Control>) {
     let mut round: u64 = 0;
     loop {
-        control.timers.sleep(LOADS_EVERY).await;
+        control.timers.sleep(LOAD_REPORT_INTERVAL).await;
         round += 1;
-        let whole = round.is_multiple_of(TELL_ALL_LOADS_EVERY);
+        let whole = round.is_multiple_of(LOAD_REPORTS_PER_FULL);
         tell_parts(&control, whole).await;
         tell_limits(&control).await;
         let loads = {
-            let mut ledger = control.use_ledger.borrow_mut();
+            let mut ledger = control.usage_ledger.borrow_mut();
             let changed = ledger.loads().take_changed();
             if whole { ledger.loads().all() } else { changed }
         };
@@ -142,7 +145,7 @@
     let news = {
         let mut parts = control.parts.borrow_mut();
         if forget {
-            parts.forget(clock::now());
+            parts.expire(clock::now());
         }
         parts.take_news()
     };
@@ -165,7 +168,7 @@
     let news = {
         let mut limits = control.limits.borrow_mut();
         let registry = control.registry.borrow();
-        limits.forget(control.time(), |name, born| limits::is_there(&registry, name, born));
+        limits.forget(control.time(), |name, born| limits::may_answer(&registry, name, born));
         limits.take_news()
     };
     if news.is_empty() {
@@ -209,7 +212,7 @@
         link.outgoing.send(&QuotaNews::of(control, 0).for_entry(control, &link.start));
     }
     if wanted.loads && !before.loads {
-        let loads = control.use_ledger.borrow_mut().loads().all();
+        let loads = control.usage_ledger.borrow_mut().loads().all();
         link.outgoing.send(&ToEntry::Loads { whole: true, loads });
         link.outgoing.send(&ToEntry::Parts(control.parts.borrow().all()));
         let findings = control.quarantine.borrow().valid_records(control.time());
@@ -228,7 +231,7 @@
 /// Who shares the quotas, as all that are told at a time are told.
 struct QuotaNews {
     /// The entry boxes that are heard; none if this box can't tell the time.
-    heard: BTreeSet<EntryStart>,
+    heard: BTreeSet<EntryIncarnation>,
     /// Until when the use of all of them is known.
     as_of: Option<Duration>,
     known: u32,
@@ -247,12 +250,12 @@
 
     /// What an entry box is told. The sums are of now, and not of when the telling began: this box may have told
     /// of more since, and its own use is taken off them.
-    fn for_entry(&self, control: &Control, entry: &EntryStart) -> ToEntry {
+    fn for_entry(&self, control: &Control, entry: &EntryIncarnation) -> ToEntry {
         let time = control.time();
-        let mut ledger = control.use_ledger.borrow_mut();
+        let mut ledger = control.usage_ledger.borrow_mut();
         let quotas = ledger.quotas().others(time, self.first, entry);
         let as_of = self.as_of.filter(|_| self.heard.contains(entry));
         let heard = self.heard.len() as u32;
-        ToEntry::OthersUse { as_of, heard, known: self.known, quotas }
+        ToEntry::OthersUsage { as_of, reporting: heard, known: self.known, quotas }
     }
 }
--- a/crates/vaneway-server/src/core/endpoints/registered.rs
+++ b/crates/vaneway-server/src/core/endpoints/registered.rs
@@ -59,7 +59,7 @@
 fn abandon(entry: &Entry, instance: &InstanceId) {
     let Some(endpoint) = entry.registered.borrow_mut().remove(instance) else { return };
     Line::new("endpoint_reborn").with("replica", instance).info();
-    entry.change(|pool, now, out| {
+    entry.update_pool(|pool, now, out| {
         pool.notice(now, endpoint, now, out);
         pool.expire(now, out);
     });
@@ -68,7 +68,7 @@
 /// Uses endpoints that were ready before all boxes went down, unless this box has heard of any
 /// since; those that are not heard of within `left` are used no more.
 pub fn remember(entry: &Rc<Entry>, reports: &[Report], left: Duration) {
-    if entry.up() > STARTED_WITHIN {
+    if entry.uptime() > STARTED_WITHIN {
         return;
     }
     let unknown = |report: &&Report| {
@@ -102,7 +102,7 @@
     }
     Line::new("endpoint_not_heard_of").with("replica", instance).info();
     entry.registered.borrow_mut().remove(instance);
-    entry.change(|pool, now, out| pool.notice(now, endpoint, now + FINISH_WITHIN, out));
+    entry.update_pool(|pool, now, out| pool.notice(now, endpoint, now + FINISH_WITHIN, out));
 }
 
 fn apply_news(entry: &Entry, instance: &InstanceId, known: &EndpointRecord) {
@@ -124,7 +124,7 @@
     if known.lifecycle > Lifecycle::Ready {
         let now = clock::now();
         let gone_at = known.ends_at.unwrap_or(now + FINISH_WITHIN);
-        entry.change(|pool, now, out| pool.notice(now, endpoint, gone_at, out));
+        entry.update_pool(|pool, now, out| pool.notice(now, endpoint, gone_at, out));
     }
 }
 
@@ -143,7 +143,7 @@
     }
     Line::new("endpoint_says_leaving").with("replica", &name).with("request", request).info();
     if entry.registered.borrow().values().any(|registered| *registered == endpoint) {
-        entry.change(|pool, now, out| pool.notice(now, endpoint, now + FINISH_WITHIN, out));
+        entry.update_pool(|pool, now, out| pool.notice(now, endpoint, now + FINISH_WITHIN, out));
     } else {
         entry.pool.borrow_mut().rest(endpoint, clock::now() + ASK_AGAIN_AFTER);
     }
@@ -159,8 +159,8 @@
         reclaimable: details.reclaimable,
         max_open: details.slots.saturating_mul(1 + QUEUED_A_SLOT),
     };
-    let endpoint = entry.change(|pool, _, _| pool.add(spec));
+    let endpoint = entry.update_pool(|pool, _, _| pool.add(spec));
     entry.registered.borrow_mut().insert(instance.clone(), endpoint);
-    limits::put(entry, instance);
+    limits::apply(entry, instance);
     endpoint
 }
--- a/crates/vaneway-server/src/core/entry.rs
+++ b/crates/vaneway-server/src/core/entry.rs
@@ -1,7 +1,7 @@
 //! The state that all tasks of an entry share.
 //!
 //! Everything here belongs to the loop's one thread. Tasks hold the state by reference count; what
-//! one of them learns of an endpoint reaches the open requests through [`Entry::change`].
+//! one of them learns of an endpoint reaches the open requests through [`Entry::update_pool`].
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -41,12 +41,12 @@
 use crate::core::endpoints::upstream::Connections;
 use crate::core::metrics::Metrics;
 use crate::core::occupancy::Occupancy;
-use crate::core::pace::Inflow;
+use crate::core::queue_limit::Inflow;
 use crate::core::quotas::Quotas;
 use crate::core::route_table::RouteTable;
 use crate::core::settings::FollowSettings;
 use crate::core::settings::Settings;
-use crate::core::usage::Used;
+use crate::core::usage::LocalUsage;
 use crate::util::clock;
 use crate::util::hash;
 use crate::util::logline::Line;
@@ -105,7 +105,7 @@
     /// Counters for operators.
     pub metrics: Metrics,
     /// Callers' connections that are open.
-    pub callers: Cell<usize>,
+    pub caller_connections: Cell<usize>,
     /// What endpoints have told the control boxes.
     pub registry: RefCell<Registry>,
     /// The endpoints that came from the registry.
@@ -117,7 +117,7 @@
     /// Which of the boxes that share these limits this box is, once it knows.
     pub box_number: Cell<Option<BoxNumber>>,
     /// What the requests of this box counted, for the control boxes.
-    pub used: RefCell<Used>,
+    pub usage: RefCell<LocalUsage>,
     table: RefCell<Option<Rc<RouteTable>>>,
     service_ids: RefCell<BTreeMap<String, ServiceId>>,
     /// Prompt tokens that callers ask to be read.
@@ -192,13 +192,13 @@
             claims,
             cluster,
             metrics: Metrics::new(),
-            callers: Cell::new(0),
+            caller_connections: Cell::new(0),
             registry: RefCell::default(),
             registered: RefCell::default(),
             quarantine: RefCell::default(),
             limits: RefCell::default(),
             box_number: Cell::new(box_number_by_settings(&settings)),
-            used: RefCell::default(),
+            usage: RefCell::default(),
             table: RefCell::default(),
             service_ids: RefCell::new(service_ids),
             inflow: Inflow::default(),
@@ -234,7 +234,7 @@
     }
 
     /// Time since this box started.
-    pub fn up(&self) -> Duration {
+    pub fn uptime(&self) -> Duration {
         clock::elapsed(self.started)
     }
 
@@ -357,17 +357,17 @@
 
     /// The cluster's time since 1970, or this box's before it knows better.
     pub fn cluster_time(&self) -> Duration {
-        let clock = self.used.borrow().clock();
+        let clock = self.usage.borrow().clock();
         clock.map_or_else(clock::since_epoch, |clock| clock.since_epoch(clock::now()))
     }
 
     /// Counts a request that an endpoint began to work on.
-    pub fn count_begun(&self, organisation: &str) {
-        self.used.borrow_mut().begin(clock::now(), organisation);
+    pub fn count_started(&self, organisation: &str) {
+        self.usage.borrow_mut().begin(clock::now(), organisation);
     }
 
     /// Counts an attempt that begins.
-    pub fn occupy(
+    pub fn begin_attempt(
         self: &Rc<Self>,
         endpoint: EndpointId,
         tokens: u64,
@@ -383,12 +383,15 @@
     }
 
     /// Applies what was seen of an endpoint.
-    pub fn report(&self, endpoint: EndpointId, event: EndpointEvent) {
-        self.change(|pool, now, out| pool.handle(now, endpoint, event, out));
+    pub fn apply_event(&self, endpoint: EndpointId, event: EndpointEvent) {
+        self.update_pool(|pool, now, out| pool.handle(now, endpoint, event, out));
     }
 
     /// Applies a change to the pool and tells the open requests what it means for them.
-    pub fn change<T>(&self, change: impl FnOnce(&mut Pool, Instant, &mut Vec<Effect>) -> T) -> T {
+    pub fn update_pool<T>(
+        &self,
+        change: impl FnOnce(&mut Pool, Instant, &mut Vec<Effect>) -> T,
+    ) -> T {
         let mut effects = Vec::new();
         let done = change(&mut self.pool.borrow_mut(), clock::now(), &mut effects);
         for effect in effects {
@@ -405,7 +408,7 @@
     /// Marks an instance of a box as leaving.
     pub fn mark(&self, instance: &Instance, gone_at: Instant) {
         for endpoint in self.endpoints_on(&instance.box_name) {
-            self.change(|pool, now, out| {
+            self.update_pool(|pool, now, out| {
                 if pool.listed(now, *endpoint, &instance.instance, out) {
                     pool.notice(now, *endpoint, gone_at, out);
                 }
@@ -479,7 +482,7 @@
                 "keys": claims.key_count(), "held": claims.running_calls(), "closed": claims.is_closed(),
             })),
             "marks": self.cluster.as_ref().map(Cluster::marks),
-            "caller_connections": self.callers.get(),
+            "caller_connections": self.caller_connections.get(),
             "idle_connections": self.connections.idle(),
             "timers": self.timers.pending(),
             "configuration": self.table().map(|table| table.version()),
--- a/crates/vaneway-server/src/core/limits.rs
+++ b/crates/vaneway-server/src/core/limits.rs
@@ -1,7 +1,7 @@
 //! Limits that endpoints name in their answers, as this entry box treats them.
 //!
-//! Data flow: the head of each answer says what its endpoint takes ([`answered`]); what is news goes to the control boxes and
-//! from them to the other entry boxes ([`learn`]). The pool's gates decide by it, each time that an endpoint is chosen.
+//! Data flow: the head of each answer says what its endpoint takes ([`observe_response`]); what is news goes to the control boxes and
+//! from them to the other entry boxes ([`merge`]). The pool's gates decide by it, each time that an endpoint is chosen.
 
 use vaneway_limit::NamedLimit;
 use vaneway_limit::NumberError;
@@ -17,7 +17,7 @@
 
 /// What the head of an answer says of the requests that its endpoint takes.
 #[derive(Debug, Clone, Copy)]
-pub struct Heard<'a> {
+pub struct LimitObservation<'a> {
     /// The endpoint that answered.
     pub endpoint: EndpointId,
     /// Id of the request, for logs.
@@ -34,8 +34,8 @@
 ///
 /// A success that names no limit ends the one before. A refusal or a failure may come from a part of the endpoint that
 /// doesn't know of it, so there silence changes nothing.
-pub fn answered(entry: &Entry, heard: &Heard<'_>) {
-    let Heard { endpoint, request, service, succeeded, named } = *heard;
+pub fn observe_response(entry: &Entry, heard: &LimitObservation<'_>) {
+    let LimitObservation { endpoint, request, service, succeeded, named } = *heard;
     if named == Ok(None) && (!succeeded || entry.limits.borrow().is_empty()) {
         return;
     }
@@ -60,11 +60,11 @@
 }
 
 /// Learns what endpoints named in answers to other boxes.
-pub fn learn(entry: &Entry, told: &[NamedLimit]) {
+pub fn merge(entry: &Entry, told: &[NamedLimit]) {
     let now = entry.cluster_time();
     let news = entry.limits.borrow_mut().merge(now, told);
     for NamedLimit { endpoint, named } in news {
-        put(entry, &endpoint);
+        apply(entry, &endpoint);
         Line::new("endpoint_limit_told")
             .with("replica", endpoint)
             .with("born", named.born)
@@ -76,7 +76,7 @@
 }
 
 /// Puts in force what is known of a registered endpoint's limit, if it is of the incarnation that runs.
-pub fn put(entry: &Entry, name: &str) {
+pub fn apply(entry: &Entry, name: &str) {
     let Some(endpoint) = entry.registered.borrow().get(name).copied() else { return };
     let named = entry.limits.borrow().get(name).copied();
     let born = entry.registry.borrow().born(name);
@@ -101,7 +101,7 @@
 }
 
 /// Whether this incarnation of an endpoint may still answer, as a control box knows it.
-pub fn is_there(registry: &Registry, name: &str, born: StartMillis) -> bool {
+pub fn may_answer(registry: &Registry, name: &str, born: StartMillis) -> bool {
     registry.get(name).is_some_and(|known| known.born <= born && known.lifecycle < Lifecycle::Gone)
 }
 
@@ -113,7 +113,7 @@
     registered.is_none_or(|current| current == endpoint).then(born)
 }
 
-fn log_unreadable(entry: &Entry, name: &str, heard: &Heard<'_>, error: NumberError) {
+fn log_unreadable(entry: &Entry, name: &str, heard: &LimitObservation<'_>, error: NumberError) {
     entry.metrics.limits.with_label_values(&[heard.service, "unreadable"]).inc();
     Line::new("endpoint_limit_unreadable")
         .with("replica", name)
--- a/crates/vaneway-server/src/core/loads.rs
+++ b/crates/vaneway-server/src/core/loads.rs
@@ -13,7 +13,7 @@
 use vaneway_registry::InstanceId;
 use vaneway_route::Load;
 
-use crate::core::entry_start::EntryStart;
+use crate::core::entry_incarnation::EntryIncarnation;
 
 /// What is open at some endpoints.
 pub type Loads = Vec<(InstanceId, Load)>;
@@ -21,7 +21,7 @@
 /// What all entry boxes have open at endpoints, as they told a control box.
 #[derive(Debug, Default)]
 pub struct LoadLedger {
-    told: BTreeMap<EntryStart, BTreeMap<InstanceId, Load>>,
+    told: BTreeMap<EntryIncarnation, BTreeMap<InstanceId, Load>>,
     sums: BTreeMap<InstanceId, Load>,
     /// Endpoints whose sum changed since it was last asked for.
     changed: BTreeSet<InstanceId>,
@@ -29,7 +29,7 @@
 
 impl LoadLedger {
     /// Takes in all that an entry box has open.
-    pub fn replace(&mut self, entry: &EntryStart, loads: &[(InstanceId, Load)]) {
+    pub fn replace(&mut self, entry: &EntryIncarnation, loads: &[(InstanceId, Load)]) {
         let known = self.told.get(entry);
         let now: BTreeMap<&InstanceId, Load> = loads.iter().map(|(id, load)| (id, *load)).collect();
         let ended = known.into_iter().flat_map(BTreeMap::keys).filter(|id| !now.contains_key(id));
@@ -39,7 +39,7 @@
     }
 
     /// Takes in what an entry box has open at some endpoints.
-    pub fn update(&mut self, entry: &EntryStart, loads: &[(InstanceId, Load)]) {
+    pub fn update(&mut self, entry: &EntryIncarnation, loads: &[(InstanceId, Load)]) {
         let told = self.told.entry(entry.clone()).or_default();
         for (id, load) in loads {
             let before = if *load == Load::default() {
@@ -64,7 +64,7 @@
     }
 
     /// Forgets what an entry box that is gone has open.
-    pub fn remove(&mut self, entry: &EntryStart) {
+    pub fn remove(&mut self, entry: &EntryIncarnation) {
         self.replace(entry, &[]);
         self.told.remove(entry);
     }
--- a/crates/vaneway-server/src/core/mod.rs
+++ b/crates/vaneway-server/src/core/mod.rs
@@ -4,6 +4,7 @@
 //! [`calls`] (the decisions over it, driven until its last byte) and [`endpoints`] (attempts and
 //! connections). [`control`] is what control boxes run; [`cluster`] what boxes tell each other.
 
+pub mod cached_parts;
 pub mod callers;
 pub mod calls;
 pub mod cloud_notices;
@@ -14,20 +15,19 @@
 pub mod control;
 pub mod endpoints;
 pub mod entry;
-pub mod entry_start;
-pub mod hearing;
-pub mod kept_parts;
+pub mod entry_incarnation;
 pub mod limits;
 pub mod loads;
 pub mod metrics;
 pub mod occupancy;
 pub mod operators;
-pub mod pace;
 pub mod quarantine;
+pub mod queue_limit;
 pub mod quota_ledger;
-pub mod quota_use;
+pub mod quota_usage;
 pub mod quotas;
-pub mod rests;
+pub mod report_tracker;
+pub mod retry_after;
 pub mod route_table;
 pub mod running;
 pub mod settings;
--- a/crates/vaneway-server/src/core/occupancy.rs
+++ b/crates/vaneway-server/src/core/occupancy.rs
@@ -63,8 +63,8 @@
     }
 
     /// Watches it as a run of an engine of `service` with a prompt of `prompt` tokens.
-    pub fn watch(&mut self, service: &str, prompt: u64) {
-        self.entry.used.borrow_mut().begin_run(service, prompt, self.tokens);
+    pub fn track_run(&mut self, service: &str, prompt: u64) {
+        self.entry.usage.borrow_mut().begin_run(service, prompt, self.tokens);
         self.run = Some(WatchedRun {
             service: service.to_owned(),
             unread: self.tokens,
@@ -77,7 +77,7 @@
     }
 
     /// Notes that the answer came to its end.
-    pub fn ended(&mut self) {
+    pub fn mark_complete(&mut self) {
         if let Some(run) = &mut self.run {
             run.whole = true;
         }
@@ -89,7 +89,7 @@
     }
 
     /// Counts that a piece of the answer arrived, and with the first that the work has begun.
-    pub fn heard(&mut self) {
+    pub fn record_chunk(&mut self) {
         let now = clock::now();
         if let Some(run) = &mut self.run {
             run.heard(now);
@@ -108,7 +108,7 @@
         if let Some(run) = &self.run
             && let Some(seen) = run.seen()
         {
-            self.entry.used.borrow_mut().observe_run(&run.service, &seen);
+            self.entry.usage.borrow_mut().observe_run(&run.service, &seen);
         }
         self.entry.pool.borrow_mut().end(self.endpoint, self.tokens, self.arriving);
     }
--- a/crates/vaneway-server/src/core/pace.rs
+++ b/crates/vaneway-server/src/core/queue_limit.rs
@@ -17,7 +17,7 @@
 use vaneway_route::ServiceId;
 use vaneway_route::Work;
 
-use crate::core::cluster::wire::LOADS_EVERY;
+use crate::core::cluster::wire::LOAD_REPORT_INTERVAL;
 use crate::core::entry::Entry;
 use crate::util::clock;
 
@@ -25,10 +25,10 @@
 ///
 /// The rest is for its own prompt and the way. Simulated (50 of 60 engines vanish within 8 s under 69 boxes), the worth in time of
 /// what any scheduler could have brought: 0.10 without a limit, 0.86 with 1.0, 0.92 with 0.8, 0.89 with 0.6, 0.78 with 0.25.
-pub const PART: f64 = 0.8;
+pub const MAX_QUEUE_SHARE: f64 = 0.8;
 
 /// Age of what boxes know of each other's work: one telling to a control box, one from it, and the ways.
-const NEWS_AGE: Duration = LOADS_EVERY.saturating_mul(2);
+const NEWS_AGE: Duration = LOAD_REPORT_INTERVAL.saturating_mul(2);
 
 /// Prompt tokens that callers ask to be read, by service.
 #[derive(Debug, Default)]
@@ -50,16 +50,21 @@
 
 /// When the first event of a request has to come that is to be in time until `by`; none if the speed of its
 /// service's engines is not known.
-pub fn pace(entry: &Entry, service: ServiceId, service_name: &str, by: Instant) -> Option<Pace> {
-    let token = entry.used.borrow_mut().speeds(service_name).token;
+pub fn queue_limit(
+    entry: &Entry,
+    service: ServiceId,
+    service_name: &str,
+    by: Instant,
+) -> Option<Pace> {
+    let token = entry.usage.borrow_mut().speeds(service_name).token;
     if token <= 0.0 {
         return None;
     }
     let now = clock::now();
-    let boxes = f64::from(entry.quotas.known_boxes().max(1));
+    let boxes = f64::from(entry.quotas.known_entry_boxes().max(1));
     Some(Pace {
         token,
-        within: by.saturating_duration_since(now).mul_f64(PART),
+        within: by.saturating_duration_since(now).mul_f64(MAX_QUEUE_SHARE),
         unheard: entry.inflow.rate(now, service) * boxes * NEWS_AGE.as_secs_f64(),
     })
 }
--- a/crates/vaneway-server/src/core/quota_ledger.rs
+++ b/crates/vaneway-server/src/core/quota_ledger.rs
@@ -15,9 +15,9 @@
 
 use crate::core::cluster_time::AHEAD_MOST;
 use crate::core::cluster_time::ClusterNow;
-use crate::core::entry_start::EntryStart;
-use crate::core::quota_use::OthersQuotaUse;
-use crate::core::quota_use::OwnQuotaUse;
+use crate::core::entry_incarnation::EntryIncarnation;
+use crate::core::quota_usage::OthersQuotaUsage;
+use crate::core::quota_usage::OwnQuotaUsage;
 
 /// Slots of quotas that a control box remembers.
 const LEDGER_SLOTS: usize = SLOTS_KEPT as usize + 4;
@@ -29,7 +29,7 @@
 #[derive(Debug, Default)]
 pub struct QuotaLedger {
     /// What each start of an entry box told.
-    told: BTreeMap<EntryStart, Told>,
+    told: BTreeMap<EntryIncarnation, Told>,
     /// The sums of all of them.
     totals: BTreeMap<Slot, Units>,
     /// The first slot of which more was told since it was last asked for.
@@ -74,8 +74,8 @@
     pub(super) fn merge(
         &mut self,
         now: ClusterNow,
-        entry: &EntryStart,
-        quotas: &[(String, OwnQuotaUse)],
+        entry: &EntryIncarnation,
+        quotas: &[(String, OwnQuotaUsage)],
     ) {
         // What was asked for before this box heard of the entry for the first time says nothing of now.
         let is_new = !self.told.contains_key(entry);
@@ -114,7 +114,7 @@
 
     /// Forgets the starts of entry boxes for which `kept` does not hold, once nothing of what they took is
     /// in the sums any more: told again, it would be added again.
-    pub(super) fn forget(&mut self, kept: impl Fn(&EntryStart) -> bool) {
+    pub(super) fn forget(&mut self, kept: impl Fn(&EntryIncarnation) -> bool) {
         let first = self.totals.first_key_value().map_or(0, |(slot, _)| *slot);
         self.told.retain(|entry, told| kept(entry) || told.taken.range(first..).next().is_some());
     }
@@ -122,7 +122,7 @@
     /// The first slot to tell now, where each telling repeats so many of the latest: earlier ones too if more of
     /// them was told since the last call. An entry box that was cut off tells late, and the others must hear of
     /// it at once.
-    pub fn first_to_tell(&mut self, repeated: u64) -> Slot {
+    pub fn first_slot_to_send(&mut self, repeated: u64) -> Slot {
         let last = self.totals.last_key_value().map_or(0, |(slot, _)| *slot);
         let latest = last.saturating_sub(repeated);
         self.grown_from.take().map_or(latest, |grown| grown.min(latest))
@@ -155,15 +155,15 @@
         &self,
         now: Duration,
         first: Slot,
-        entry: &EntryStart,
-    ) -> Vec<(String, OthersQuotaUse)> {
+        entry: &EntryIncarnation,
+    ) -> Vec<(String, OthersQuotaUsage)> {
         let taken = self.told.get(entry).map(|told| &told.taken);
         let own = |slot: Slot, organisation: &str| taken?.get(&slot)?.get(organisation).copied();
         let rest = |(organisation, total): (String, QuotaTotal)| {
             let without_own =
                 |(slot, units)| (slot, units - own(slot, &organisation).unwrap_or_default());
             let slots = total.slots.into_iter().map(without_own).collect();
-            (organisation, OthersQuotaUse { demand: total.demand, slots })
+            (organisation, OthersQuotaUsage { demand: total.demand, slots })
         };
         self.totals(now, first).into_iter().map(rest).collect()
     }
--- a/crates/vaneway-server/src/core/quota_use.rs
+++ b/crates/vaneway-server/src/core/quota_usage.rs
@@ -9,7 +9,7 @@
 
 /// What one entry box tells of an organisation's quota.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OwnQuotaUse {
+pub struct OwnQuotaUsage {
     /// Units that it was asked for since it started, admitted or not.
     pub asked: u64,
     /// Units that it took.
@@ -18,7 +18,7 @@
 
 /// What a control box tells of an organisation's quota.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OthersQuotaUse {
+pub struct OthersQuotaUsage {
     /// Units that all entry boxes were asked for in a second, admitted or not.
     pub demand: u64,
     /// Units that the others took.
--- a/crates/vaneway-server/src/core/quotas.rs
+++ b/crates/vaneway-server/src/core/quotas.rs
@@ -1,8 +1,8 @@
 //! The quotas of organisations at one entry box.
 //!
 //! Data flow: a configuration sets the limits ([`Quotas::configure`]); each request is charged before it goes
-//! to an endpoint ([`Quotas::charge`]); what this box took travels to the control boxes ([`Quotas::own_use`]),
-//! and what the others took comes from them ([`Quotas::learn`]). [`vaneway_quota`] decides.
+//! to an endpoint ([`Quotas::charge`]); what this box took travels to the control boxes ([`Quotas::own_usage`]),
+//! and what the others took comes from them ([`Quotas::apply_update`]). [`vaneway_quota`] decides.
 //!
 //! Every change of a limit is logged, and at level `debug` each decision with what it went by.
 
@@ -20,8 +20,8 @@
 
 use crate::core::configuration::OrganisationSpec;
 use crate::core::configuration::Version;
-use crate::core::quota_use::OthersQuotaUse;
-use crate::core::quota_use::OwnQuotaUse;
+use crate::core::quota_usage::OthersQuotaUsage;
+use crate::core::quota_usage::OwnQuotaUsage;
 use crate::core::settings::QuotaAllowance;
 use crate::util::hash;
 use crate::util::logline::Line;
@@ -134,12 +134,12 @@
 
     /// Learns what the other entry boxes took until `as_of`, and which boxes share the quotas. An
     /// organisation that isn't told of took nothing lately and was asked for nothing.
-    pub fn learn(
+    pub fn apply_update(
         &self,
         now: Duration,
         as_of: Option<Duration>,
         sharers: Sharers,
-        told: &[(String, OthersQuotaUse)],
+        told: &[(String, OthersQuotaUsage)],
     ) {
         if let Some(as_of) = as_of {
             let before = self.heard.replace(Some((as_of, sharers)));
@@ -163,25 +163,25 @@
     }
 
     /// Entry boxes that there may be, as was last told; 0 if it never was.
-    pub fn known_boxes(&self) -> u32 {
+    pub fn known_entry_boxes(&self) -> u32 {
         self.heard.get().map_or(0, |(_, sharers)| sharers.known)
     }
 
     /// Whether the others' use has been heard of since this box started, if there are quotas.
-    pub fn are_heard(&self) -> bool {
+    pub fn are_synced(&self) -> bool {
         self.heard.get().is_some() || self.by_organisation.borrow().is_empty()
     }
 
     /// What this box took of each quota in the slots from `first` on, and what it was asked for: of those that
     /// it was asked for lately, or of all since it started, for a control box that has not heard of it before.
-    pub fn own_use(&self, now: Duration, first: Slot, all: bool) -> Vec<(String, OwnQuotaUse)> {
+    pub fn own_usage(&self, now: Duration, first: Slot, all: bool) -> Vec<(String, OwnQuotaUsage)> {
         let quotas = self.by_organisation.borrow();
         let asked = quotas.iter().filter(|(_, known)| {
             known.quota.was_asked_lately(now) || all && known.quota.asked() > 0
         });
         let use_of = |(name, known): (&String, &OrganisationQuota)| {
             let slots = known.quota.own(first).collect();
-            (name.clone(), OwnQuotaUse { asked: known.quota.asked(), slots })
+            (name.clone(), OwnQuotaUsage { asked: known.quota.asked(), slots })
         };
         asked.map(use_of).collect()
     }
--- a/crates/vaneway-server/src/core/hearing.rs
+++ b/crates/vaneway-server/src/core/report_tracker.rs
@@ -1,7 +1,7 @@
 //! Whose news a control box has and how old they are, without I/O.
 //!
 //! Why: who is connected need not be heard, and what isn't heard is unknown, never nothing. A decision for the whole
-//! deployment goes by [`News`]: how many entry boxes were heard, for how long, and how many should have been.
+//! deployment goes by [`ReportCoverage`]: how many entry boxes were heard, for how long, and how many should have been.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,7 +10,7 @@
 use vaneway_quota::Slot;
 
 use crate::core::cluster_time::ClusterNow;
-use crate::core::entry_start::EntryStart;
+use crate::core::entry_incarnation::EntryIncarnation;
 
 /// Age of a report up to which an entry box counts as heard by those that share quotas: two tellings and the way. Who
 /// isn't heard keeps its part of each quota, so that none of the others takes it.
@@ -29,8 +29,8 @@
 
 /// When each start of an entry box told anything.
 #[derive(Debug, Default)]
-pub struct Hearing {
-    told: BTreeMap<EntryStart, Told>,
+pub struct ReportTracker {
+    told: BTreeMap<EntryIncarnation, Told>,
     /// Entry boxes that have told all that they ever will, and when they last told.
     done: BTreeMap<String, Slot>,
     /// The slot of the last report of any.
@@ -54,27 +54,27 @@
 
 /// What a decision that goes by reports of the entry boxes rests on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct News {
+pub struct ReportCoverage {
     /// Entry boxes that are heard.
-    pub heard: u32,
+    pub reporting: u32,
     /// Those of them that were heard over all of the time in question.
-    pub throughout: u32,
+    pub reporting_throughout: u32,
     /// Entry boxes that may be there.
     pub known: u32,
     /// Age of the oldest of the last reports of those that are heard.
-    pub age: Duration,
+    pub oldest_age: Duration,
 }
 
-impl News {
+impl ReportCoverage {
     /// Whether all were heard over all of the time; not if there are none, since nothing is known then.
-    pub fn is_whole(&self) -> bool {
-        self.throughout > 0 && self.throughout >= self.known
+    pub fn is_complete(&self) -> bool {
+        self.reporting_throughout > 0 && self.reporting_throughout >= self.known
     }
 }
 
-impl Hearing {
+impl ReportTracker {
     /// Learns that a report came at `now` that was `made` when the entry box says.
-    pub fn learn(&mut self, now: ClusterNow, entry: &EntryStart, made: Option<Duration>) {
+    pub fn learn(&mut self, now: ClusterNow, entry: &EntryIncarnation, made: Option<Duration>) {
         if now.slot < self.latest || now.slot > self.latest + SLOTS_BETWEEN {
             self.unbroken_since = now.slot;
         }
@@ -85,7 +85,7 @@
     }
 
     /// Learns that a start of an entry box has told all that it ever will.
-    pub fn end(&mut self, entry: &EntryStart) {
+    pub fn end(&mut self, entry: &EntryIncarnation) {
         if let Some(told) = self.told.remove(entry) {
             self.done.insert(entry.0.clone(), told.slot);
         }
@@ -98,18 +98,18 @@
     }
 
     /// Whether a start is remembered.
-    pub fn has(&self, entry: &EntryStart) -> bool {
+    pub fn has(&self, entry: &EntryIncarnation) -> bool {
         self.told.contains_key(entry)
     }
 
     /// Starts that are remembered.
-    pub fn starts(&self) -> usize {
+    pub fn incarnations(&self) -> usize {
         self.told.len()
     }
 
     /// When the last report of an entry box was made that is recent at `now`; none if there is none, or if
     /// the box's idea of the cluster's time is another.
-    pub fn made_at(&self, now: Duration, entry: &EntryStart) -> Option<Duration> {
+    pub fn last_report_at(&self, now: Duration, entry: &EntryIncarnation) -> Option<Duration> {
         let made = self.told.get(entry)?.made?;
         (now.abs_diff(made) <= SHARES_WITHIN).then_some(made)
     }
@@ -120,25 +120,26 @@
     }
 
     /// Entry boxes that told something after the slot `end`, or had told all that they ever will.
-    pub fn told_since(&self, end: Slot) -> u32 {
+    pub fn reporters_since(&self, end: Slot) -> u32 {
         let since = self.told.iter().filter(|(_, told)| told.slot > end);
         let since: BTreeSet<&String> = since.map(|((name, _), _)| name).collect();
         since.into_iter().chain(self.done.keys()).collect::<BTreeSet<_>>().len() as u32
     }
 
     /// What is heard at `now` of `known` entry boxes; throughout is over the last `slots`.
-    pub fn news(&self, now: ClusterNow, slots: u64, known: u32) -> News {
+    pub fn news(&self, now: ClusterNow, slots: u64, known: u32) -> ReportCoverage {
         let is_heard = |told: &&Told| now.time.abs_diff(told.came) <= HEARD_WITHIN;
         let last = self.told.iter().map(|((name, _), told)| (name, told));
-        let heard: BTreeMap<&String, &Told> = last.filter(|(_, told)| is_heard(told)).collect();
-        let throughout =
-            heard.values().filter(|told| told.first.max(self.unbroken_since) + slots < now.slot);
-        let ages = heard.values().map(|told| now.time.abs_diff(told.came));
-        News {
-            heard: heard.len() as u32,
-            throughout: throughout.count() as u32,
+        let reporting: BTreeMap<&String, &Told> = last.filter(|(_, told)| is_heard(told)).collect();
+        let reporting_throughout = reporting
+            .values()
+            .filter(|told| told.first.max(self.unbroken_since) + slots < now.slot);
+        let ages = reporting.values().map(|told| now.time.abs_diff(told.came));
+        ReportCoverage {
+            reporting: reporting.len() as u32,
+            reporting_throughout: reporting_throughout.count() as u32,
             known,
-            age: ages.max().unwrap_or_default(),
+            oldest_age: ages.max().unwrap_or_default(),
         }
     }
 }
--- a/crates/vaneway-server/src/core/rests.rs
+++ b/crates/vaneway-server/src/core/retry_after.rs
@@ -3,7 +3,7 @@
 //! Why: an endpoint that is overloaded says for how long it wants nothing from the box that it has turned away. What is
 //! sent there meanwhile costs it work and the caller time, and is turned away as well.
 //!
-//! Data flow: each refusal's head is read here ([`refused`]), and the pool keeps the endpoint out of every choice until its
+//! Data flow: each refusal's head is read here ([`apply_refusal`]), and the pool keeps the endpoint out of every choice until its
 //! rest is over. The rest is between the endpoint and this box, so no other box is told.
 
 use std::time::Duration;
@@ -21,21 +21,21 @@
 use crate::util::logline::Line;
 
 /// Longest rest that an endpoint gets: one that asks for more is asked again, or nobody would learn that it is well.
-pub const REST_MOST: Duration = Duration::from_hours(1);
+pub const MAX_BACKOFF: Duration = Duration::from_hours(1);
 
 /// Reads the rest that a refusal asks for, in seconds with or without a fraction; none if it asks for nothing. Of
-/// several the longest counts, and one over [`REST_MOST`] becomes that.
+/// several the longest counts, and one over [`MAX_BACKOFF`] becomes that.
 ///
 /// # Errors
 ///
 /// If one of them is no number of seconds. A date is none: it would need clocks that agree.
-pub fn read_rest(headers: &HeaderMap) -> Result<Option<Duration>, NumberError> {
+pub fn read_retry_after(headers: &HeaderMap) -> Result<Option<Duration>, NumberError> {
     let longest = read_each(headers, &RETRY_AFTER, read_seconds)?.into_iter().max();
     Ok(longest.filter(|rest| !rest.is_zero()))
 }
 
 fn read_seconds(text: &str) -> Result<Duration, NumberError> {
-    Ok(Duration::from_secs_f64(read_number(text)?.min(REST_MOST.as_secs_f64())))
+    Ok(Duration::from_secs_f64(read_number(text)?.min(MAX_BACKOFF.as_secs_f64())))
 }
 
 /// An endpoint's refusal of a request.
@@ -54,11 +54,11 @@
 }
 
 /// Learns from a refusal which rest its endpoint wants from this box. Only a 503 speaks of the endpoint as a whole.
-pub fn refused(entry: &Entry, refusal: &Refusal<'_>) {
+pub fn apply_refusal(entry: &Entry, refusal: &Refusal<'_>) {
     if refusal.status != StatusCode::SERVICE_UNAVAILABLE {
         return;
     }
-    match read_rest(refusal.headers) {
+    match read_retry_after(refusal.headers) {
         Ok(None) => {}
         Ok(Some(rest)) => {
             entry.pool.borrow_mut().rest(refusal.endpoint, clock::now() + rest);
--- a/crates/vaneway-server/src/core/running.rs
+++ b/crates/vaneway-server/src/core/running.rs
@@ -18,7 +18,7 @@
 use crate::core::cluster::datagram::Cluster;
 use crate::core::cluster::follow;
 use crate::core::cluster::marks;
-use crate::core::cluster::wire::LOADS_EVERY;
+use crate::core::cluster::wire::LOAD_REPORT_INTERVAL;
 use crate::core::entry::Entry;
 use crate::core::entry::Parts;
 use crate::core::entry::Phase;
@@ -101,7 +101,7 @@
 }
 
 /// Time in which the control boxes are told that this box is done: two rounds of telling.
-const DONE_TOLD_WITHIN: Duration = LOADS_EVERY.saturating_mul(2);
+const DONE_TOLD_WITHIN: Duration = LOAD_REPORT_INTERVAL.saturating_mul(2);
 
 /// Compiles the charts, so that a fault in one is found at start and not at the first request.
 fn check_charts() {
@@ -160,7 +160,7 @@
         entry.timers.sleep(LOOK_EVERY).await;
         let due = entry.pool.borrow().next_deadline();
         if due.is_some_and(|at| at <= clock::now()) {
-            entry.change(Pool::expire);
+            entry.update_pool(Pool::expire);
         }
     }
 }
@@ -195,8 +195,10 @@
         entry.timers.timeout_at(until, empty).await;
         let cut_off = entry.open.len();
         let until = clock::now() + CLOSE_WITHIN;
-        let busy =
-            || entry.callers.get() + entry.claims.as_ref().map_or(0, Claims::running_calls) > 0;
+        let busy = || {
+            entry.caller_connections.get() + entry.claims.as_ref().map_or(0, Claims::running_calls)
+                > 0
+        };
         while busy() && clock::now() < until {
             entry.timers.sleep(Duration::from_millis(5)).await;
         }
--- a/crates/vaneway-server/src/core/usage.rs
+++ b/crates/vaneway-server/src/core/usage.rs
@@ -22,23 +22,23 @@
 use crate::core::cluster_time::ClusterNow;
 use crate::core::cluster_time::ClusterTime;
 use crate::core::cluster_time::Window;
-use crate::core::entry_start::EntryStart;
-use crate::core::hearing::Hearing;
-use crate::core::hearing::News;
+use crate::core::entry_incarnation::EntryIncarnation;
 use crate::core::loads::LoadLedger;
 use crate::core::loads::Loads;
 use crate::core::quota_ledger::QuotaLedger;
-use crate::core::quota_use::OwnQuotaUse;
+use crate::core::quota_usage::OwnQuotaUsage;
+use crate::core::report_tracker::ReportCoverage;
+use crate::core::report_tracker::ReportTracker;
 
 /// Requests of each organisation.
 pub type Counts = BTreeMap<String, u64>;
 
 /// Windows that an entry box remembers: longer than a report may be late.
-pub const WINDOWS_KEPT: usize = 8;
+pub const RETAINED_WINDOWS: usize = 8;
 
 /// What the requests of one entry box used.
 #[derive(Debug, Default)]
-pub struct Used {
+pub struct LocalUsage {
     /// The cluster's time and the length of a window, once a control box told.
     clock: Option<(ClusterTime, Duration)>,
     windows: BTreeMap<Window, Counts>,
@@ -51,7 +51,7 @@
 /// Most requests that wait for the cluster's time.
 const EARLY_MOST: usize = 10_000;
 
-impl Used {
+impl LocalUsage {
     /// Learns the cluster's time.
     pub fn set_clock(&mut self, clock: ClusterTime, length: Duration) {
         self.clock = Some((clock, length));
@@ -75,7 +75,7 @@
         };
         let counts = self.windows.entry(clock.window(now, length)).or_default();
         *counts.entry(organisation.to_owned()).or_default() += 1;
-        while self.windows.len() > WINDOWS_KEPT {
+        while self.windows.len() > RETAINED_WINDOWS {
             self.windows.pop_first();
         }
     }
@@ -100,9 +100,9 @@
     }
 
     /// Work given to the engines of each service, and how fast they were seen to be, as it travels.
-    pub fn work(&mut self) -> Vec<(String, EngineUse)> {
+    pub fn work(&mut self) -> Vec<(String, EngineUsage)> {
         let engines = self.engines.iter_mut().map(|(service, observer)| {
-            let seen = EngineUse { totals: observer.totals(), speeds: observer.speeds() };
+            let seen = EngineUsage { totals: observer.totals(), speeds: observer.speeds() };
             (service.clone(), seen)
         });
         engines.collect()
@@ -118,7 +118,7 @@
 
 /// What one entry box tells of the engines of a service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct EngineUse {
+pub struct EngineUsage {
     /// Work given to them since the box started.
     pub totals: Totals,
     /// How fast they were seen to be.
@@ -127,31 +127,31 @@
 
 /// What one entry box tells of its requests.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct UseReport {
+pub struct UsageReport {
     /// The cluster's time of this report; none while the entry box doesn't know it.
     pub at: Option<Duration>,
     /// Requests begun in the latest windows.
     pub windows: Vec<(Window, Counts)>,
     /// Quota units taken in the latest slots, and asked for.
-    pub quotas: Vec<(String, OwnQuotaUse)>,
+    pub quotas: Vec<(String, OwnQuotaUsage)>,
     /// All that is open at endpoints now, where it is told whole.
     pub loads: Option<Loads>,
     /// What was seen of the engines of each service.
-    pub work: Vec<(String, EngineUse)>,
+    pub work: Vec<(String, EngineUsage)>,
 }
 
 /// What all entry boxes told one control box.
 #[derive(Debug, Default)]
-pub struct UseLedger {
-    windows: BTreeMap<Window, BTreeMap<EntryStart, Counts>>,
+pub struct UsageLedger {
+    windows: BTreeMap<Window, BTreeMap<EntryIncarnation, Counts>>,
     quotas: QuotaLedger,
     loads: LoadLedger,
     /// When each entry box told anything.
-    hearing: Hearing,
+    report_tracker: ReportTracker,
     /// The slot in which starts were last forgotten.
     forgot_in: Slot,
     /// What each entry box last told of the engines of each service.
-    work: BTreeMap<EntryStart, BTreeMap<String, EngineUse>>,
+    work: BTreeMap<EntryIncarnation, BTreeMap<String, EngineUsage>>,
     /// Work told in the latest slots, by service.
     arrived: BTreeMap<Slot, BTreeMap<String, Totals>>,
 }
@@ -165,9 +165,9 @@
 /// Slots of work that are remembered.
 const DEMAND_SLOTS_KEPT: usize = 16;
 
-impl UseLedger {
+impl UsageLedger {
     /// Takes a report in; `now` is the cluster's time, beyond which nothing can have been used.
-    pub fn merge(&mut self, now: ClusterNow, entry: &EntryStart, report: &UseReport) {
+    pub fn merge(&mut self, now: ClusterNow, entry: &EntryIncarnation, report: &UsageReport) {
         for (window, counts) in &report.windows {
             if *window > now.window + AHEAD_MOST {
                 continue;
@@ -182,7 +182,7 @@
             self.windows.pop_first();
         }
         self.quotas.merge(now, entry, &report.quotas);
-        self.hearing.learn(now, entry, report.at);
+        self.report_tracker.learn(now, entry, report.at);
         self.forget_starts(now);
         if let Some(loads) = &report.loads {
             self.loads.replace(entry, loads);
@@ -196,29 +196,34 @@
         if std::mem::replace(&mut self.forgot_in, now.slot) == now.slot {
             return;
         }
-        let Self { hearing, work, quotas, .. } = self;
-        hearing.forget(now.slot);
-        work.retain(|entry, _| hearing.has(entry));
-        quotas.forget(|entry| hearing.has(entry));
+        let Self { report_tracker, work, quotas, .. } = self;
+        report_tracker.forget(now.slot);
+        work.retain(|entry, _| report_tracker.has(entry));
+        quotas.forget(|entry| report_tracker.has(entry));
     }
 
     /// Learns that a start of an entry box has told all that it ever will.
-    pub fn end_start(&mut self, entry: &EntryStart) {
-        self.hearing.end(entry);
+    pub fn mark_done(&mut self, entry: &EntryIncarnation) {
+        self.report_tracker.end(entry);
     }
 
     /// When the last report of an entry box was made that is recent at `now`; none if there is none, or if
     /// the box's idea of the cluster's time is another.
-    pub fn heard_at(&self, now: Duration, entry: &EntryStart) -> Option<Duration> {
-        self.hearing.made_at(now, entry)
+    pub fn last_report_at(&self, now: Duration, entry: &EntryIncarnation) -> Option<Duration> {
+        self.report_tracker.last_report_at(now, entry)
     }
 
     /// Starts of entry boxes that are remembered.
-    pub fn starts(&self) -> usize {
-        self.hearing.starts()
+    pub fn incarnations(&self) -> usize {
+        self.report_tracker.incarnations()
     }
 
-    fn merge_work(&mut self, now: ClusterNow, entry: &EntryStart, work: &[(String, EngineUse)]) {
+    fn merge_work(
+        &mut self,
+        now: ClusterNow,
+        entry: &EntryIncarnation,
+        work: &[(String, EngineUsage)],
+    ) {
         let told = self.work.insert(entry.clone(), work.iter().cloned().collect());
         // What was done before this box heard of the entry for the first time says nothing of now.
         let Some(told) = told else { return };
@@ -262,18 +267,18 @@
 
     /// Whether an entry box told something in a window, from the slot `begin` on, and nothing since its
     /// end: it may have more to tell of it.
-    pub fn misses_entries(&self, begin: Slot, end: Slot) -> bool {
-        self.hearing.misses(begin, end)
+    pub fn awaits_reports(&self, begin: Slot, end: Slot) -> bool {
+        self.report_tracker.misses(begin, end)
     }
 
     /// Entry boxes that told something after the slot `end`, and so all that they had used until then.
-    pub fn told_since(&self, end: Slot) -> u32 {
-        self.hearing.told_since(end)
+    pub fn reporters_since(&self, end: Slot) -> u32 {
+        self.report_tracker.reporters_since(end)
     }
 
     /// What the rates of work rest on, where `known` entry boxes may be there.
-    pub fn news_of_work(&self, now: ClusterNow, known: u32) -> News {
-        self.hearing.news(now, DEMAND_SLOTS, known)
+    pub fn work_coverage(&self, now: ClusterNow, known: u32) -> ReportCoverage {
+        self.report_tracker.news(now, DEMAND_SLOTS, known)
     }
 
     /// Whether any entry box told of requests in a window.
--- a/crates/vaneway-test-support/src/fleet.rs
+++ b/crates/vaneway-test-support/src/fleet.rs
@@ -146,9 +146,9 @@
         if charged.is_err() || endpoints.is_empty() {
             continue;
         }
-        entry.count_begun(&organisation);
+        entry.count_started(&organisation);
         let endpoint = endpoints[(draw % endpoints.len() as u64) as usize];
-        let occupied = entry.occupy(endpoint, 100, None);
+        let occupied = entry.begin_attempt(endpoint, 100, None);
         entry.timers.sleep(REQUEST_TAKES).await;
         drop(occupied);
     }
--- a/crates/vaneway-test-support/src/slow_readers.rs
+++ b/crates/vaneway-test-support/src/slow_readers.rs
@@ -28,7 +28,7 @@
 const READ_EVERY: Duration = Duration::from_millis(20);
 
 /// Time between two signs of life.
-const PING_EVERY: Duration = Duration::from_millis(500);
+const PING_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Bytes that the operating system takes in for a slow reader, so that the rest waits at the sender.
 const RECEIVE_BYTES: usize = 64 << 10;
@@ -182,7 +182,7 @@
 
     /// Takes at most `take` bytes; returns whether the connection lasts.
     fn read(&mut self, take: usize) -> bool {
-        if self.pinged.elapsed() > PING_EVERY {
+        if self.pinged.elapsed() > PING_INTERVAL {
             self.pinged = Instant::now();
             self.send(FromEntry::Ping { sent_us: 0 });
         }
@@ -209,7 +209,7 @@
             }
             // It asks for the whole each time, as one that has just started would.
             ToEntry::ConfigurationAgreed { version } if version > self.version => {
-                self.send(FromEntry::WantConfiguration { have: 0 });
+                self.send(FromEntry::RequestConfiguration { have: 0 });
             }
             ToEntry::Configuration(configuration) => {
                 self.version = self.version.max(configuration.version);
