--- a/crates/vaneway-capacity/src/lib.rs
+++ b/crates/vaneway-capacity/src/lib.rs
@@ -7,7 +7,7 @@
 //! left after the loss of any one zone is enough, and of on-demand ones while reclaimable ones are refused.
 //!
 //! Data flow: the owner tells the demand and what runs ([`Input`]) again and again and carries out
-//! the [`Order`]s that come back, then tells what became of each ([`Planner::answered`]). Orders
+//! the [`Order`]s that come back, then tells what became of each ([`Planner::record_answer`]). Orders
 //! are absolute counts, so they may be repeated, and a planner that starts on another box goes on
 //! from what runs.
 //!
@@ -20,7 +20,7 @@
 //! 3. The demand counts at its highest of late, so that a lull does not empty the fleet; for
 //!    on-demand replicas, which are dear, a shorter time back.
 //! 4. While no demand is known, the fleet keeps the size that the last known one asked for, or that it had at
-//!    first; a demand that is known only in part ([`Planner::learn_least`]) makes it larger, never smaller.
+//!    first; a demand that is known only in part ([`Planner::observe_min_demand`]) makes it larger, never smaller.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -57,17 +57,17 @@
     /// The zones, in any order.
     pub zones: Vec<Zone>,
     /// Fewest replicas in a zone, of both kinds together.
-    pub least: u32,
+    pub min_per_zone: u32,
     /// Most replicas in a zone, of both kinds together.
-    pub most: u32,
+    pub max_per_zone: u32,
     /// Time from an order to a replica's first work.
-    pub start_takes: Duration,
+    pub startup_time: Duration,
     /// Replicas that run and are not leaving.
     pub running: BTreeMap<(ZoneName, Kind), u32>,
     /// Reclaimable replicas that are leaving, on an order or because the cloud takes them back.
     pub leaving: BTreeMap<ZoneName, u32>,
     /// What of the running replicas is lost to limits that they name, in replicas.
-    pub limited: f64,
+    pub lost_to_limits: f64,
 }
 
 /// An order: so many replicas of this kind in this zone.
@@ -199,13 +199,13 @@
 
     /// Learns of the load and the fleet while another planner gives the orders, so that this one can go on from what
     /// the load needs and not from what a shortage has left.
-    pub fn watch(&mut self, now: Instant, input: &Input) {
+    pub fn observe(&mut self, now: Instant, input: &Input) {
         self.sent.clear();
         self.learn_demand(now, input);
     }
 
     /// Learns that the demand, which is not known in full, is at least so high. The input then names none.
-    pub fn learn_least(&mut self, now: Instant, demand: f64) {
+    pub fn observe_min_demand(&mut self, now: Instant, demand: f64) {
         if self.demands.first().is_none_or(|(_, highest)| demand > *highest) {
             self.demands = vec![(now, demand)];
         }
@@ -218,7 +218,7 @@
         let recent = self.highest_demand(now, input, self.policy.scarce_kept);
         // They run and are paid for, so those that do their work come on top; never more than as many again, also if
         // whatever runs names limits.
-        let beside = |count: u32| count + (input.limited.round() as u32).min(count);
+        let beside = |count: u32| count + (input.lost_to_limits.round() as u32).min(count);
         let need = Need {
             plenty: beside(replicas(demand, self.policy.busy_most)),
             scarce: beside(replicas(recent, self.policy.busy_scarce)),
@@ -260,7 +260,7 @@
     }
 
     /// Learns what became of an order.
-    pub fn answered(&mut self, now: Instant, order: &Order, answer: Answer) {
+    pub fn record_answer(&mut self, now: Instant, order: &Order, answer: Answer) {
         if answer == Answer::Refused && order.kind == Kind::Reclaimable {
             self.distrusted.insert(order.zone.clone(), now);
         }
@@ -320,8 +320,8 @@
         // Enough is left when any one zone's are lost.
         let spread = (need.plenty - base).div_ceil(count.saturating_sub(1).max(1));
         for wanted in wanted.values_mut() {
-            let least = input.least.saturating_sub(wanted.on_demand);
-            let room = input.most.saturating_sub(wanted.on_demand);
+            let least = input.min_per_zone.saturating_sub(wanted.on_demand);
+            let room = input.max_per_zone.saturating_sub(wanted.on_demand);
             wanted.reclaimable = spread.max(least).min(room);
         }
         self.replace_untrusted(now, input, need, &zones, &mut wanted);
@@ -362,7 +362,7 @@
             for zone in zones {
                 let wanted = wanted.entry(zone.name.clone()).or_default();
                 let short = have < need.scarce || on_demand < last;
-                if short && wanted.on_demand + counted(&zone.name, wanted) < input.most {
+                if short && wanted.on_demand + counted(&zone.name, wanted) < input.max_per_zone {
                     wanted.on_demand += 1;
                     on_demand += 1;
                     have += 1;
@@ -372,7 +372,7 @@
         }
         // Both kinds share the zone's room.
         for wanted in wanted.values_mut() {
-            wanted.reclaimable = wanted.reclaimable.min(input.most - wanted.on_demand);
+            wanted.reclaimable = wanted.reclaimable.min(input.max_per_zone - wanted.on_demand);
         }
     }
 
@@ -392,7 +392,7 @@
             let since = now.saturating_duration_since(sent.at);
             let wait = match sent.answer {
                 Some(Answer::Taken) if runs == count => Duration::MAX,
-                Some(Answer::Taken) => input.start_takes + LATE_AFTER,
+                Some(Answer::Taken) => input.startup_time + LATE_AFTER,
                 Some(Answer::Refused) => self.policy.distrust / 2,
                 Some(Answer::Unknown) | None => AGAIN_AFTER,
             };
--- a/crates/vaneway-engine/src/demand.rs
+++ b/crates/vaneway-engine/src/demand.rs
@@ -12,16 +12,16 @@
     /// Runs.
     pub runs: f64,
     /// Prompt tokens of these.
-    pub prompt: f64,
+    pub prompt_tokens: f64,
     /// Prompt tokens that must be read.
-    pub unread: f64,
+    pub uncached_tokens: f64,
 }
 
 impl Rates {
     /// The rates of all `known` boxes, where only `heard` of them told theirs, by the last rates that all
     /// told; none if that can't be said. Boxes that are cut off go on taking work, about as much as the
     /// others, and of boxes that died the others take it, so the sum is not taken to rise.
-    pub fn of_all(self, heard: u32, known: u32, last: Option<Self>) -> Option<Self> {
+    pub fn extrapolate(self, heard: u32, known: u32, last: Option<Self>) -> Option<Self> {
         if heard == 0 {
             return None;
         }
@@ -33,8 +33,8 @@
         let rate = |told: f64, last: f64| told.max((told * factor).min(last));
         Some(Self {
             runs: rate(self.runs, last.runs),
-            prompt: rate(self.prompt, last.prompt),
-            unread: rate(self.unread, last.unread),
+            prompt_tokens: rate(self.prompt_tokens, last.prompt_tokens),
+            uncached_tokens: rate(self.uncached_tokens, last.uncached_tokens),
         })
     }
 }
@@ -43,9 +43,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineSize {
     /// Runs at once.
-    pub places: u32,
+    pub batch_slots: u32,
     /// Tokens that its memory holds; 0 if unknown.
-    pub memory: u64,
+    pub memory_tokens: u64,
 }
 
 /// Replicas that a load keeps busy, by what keeps them busy.
@@ -81,14 +81,18 @@
 impl Speeds {
     /// The replicas that `rates` keep busy, where `running` replicas serve now.
     pub fn demand(&self, rates: Rates, size: EngineSize, running: u32) -> Demand {
-        let reading = rates.unread * self.token;
+        let reading = rates.uncached_tokens * self.prompt_token_s;
         // The pace that was seen holds the reading of other prompts between events.
         let read_part = (reading / f64::from(running.max(1))).min(READING_MOST);
-        let alone = self.pause * (1.0 - read_part);
-        let generating = rates.runs * self.pauses * alone / f64::from(size.places.max(1));
-        let held_for = self.first + self.pauses * self.pause;
-        let memory =
-            if size.memory == 0 { 0.0 } else { rates.prompt * held_for / size.memory as f64 };
+        let alone = self.gap_s * (1.0 - read_part);
+        let generating =
+            rates.runs * self.gaps_per_run * alone / f64::from(size.batch_slots.max(1));
+        let held_for = self.first_event_s + self.gaps_per_run * self.gap_s;
+        let memory = if size.memory_tokens == 0 {
+            0.0
+        } else {
+            rates.prompt_tokens * held_for / size.memory_tokens as f64
+        };
         Demand { reading, generating, memory }
     }
 }
--- a/crates/vaneway-engine/src/observer.rs
+++ b/crates/vaneway-engine/src/observer.rs
@@ -35,15 +35,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Run {
     /// Prompt tokens that the engine had to read.
-    pub unread: u64,
+    pub uncached_tokens: u64,
     /// Time from sending it to its first event.
-    pub first_after: Duration,
+    pub time_to_first_event: Duration,
     /// Pauses between its events.
-    pub pauses: u32,
+    pub gaps: u32,
     /// Time from the first event to the last one.
-    pub generating: Duration,
+    pub generation_time: Duration,
     /// Whether it came to its end.
-    pub whole: bool,
+    pub completed: bool,
 }
 
 /// Work that one box has given to the engines of a service since it started.
@@ -52,9 +52,9 @@
     /// Runs begun.
     pub runs: u64,
     /// Prompt tokens of these.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Prompt tokens that had to be read.
-    pub unread: u64,
+    pub uncached_tokens: u64,
 }
 
 impl Totals {
@@ -63,8 +63,8 @@
     pub fn since(self, before: Self) -> Self {
         Self {
             runs: self.runs.saturating_sub(before.runs),
-            prompt: self.prompt.saturating_sub(before.prompt),
-            unread: self.unread.saturating_sub(before.unread),
+            prompt_tokens: self.prompt_tokens.saturating_sub(before.prompt_tokens),
+            uncached_tokens: self.uncached_tokens.saturating_sub(before.uncached_tokens),
         }
     }
 }
@@ -72,8 +72,8 @@
 impl std::ops::AddAssign for Totals {
     fn add_assign(&mut self, rhs: Self) {
         self.runs += rhs.runs;
-        self.prompt += rhs.prompt;
-        self.unread += rhs.unread;
+        self.prompt_tokens += rhs.prompt_tokens;
+        self.uncached_tokens += rhs.uncached_tokens;
     }
 }
 
@@ -81,20 +81,20 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Speeds {
     /// Seconds to read a prompt token beside the usual other work.
-    pub token: f64,
+    pub prompt_token_s: f64,
     /// Seconds from sending a run to its first event.
-    pub first: f64,
+    pub first_event_s: f64,
     /// Seconds between two events of a run that little disturbs.
-    pub pause: f64,
+    pub gap_s: f64,
     /// Pauses of a run on average.
-    pub pauses: f64,
+    pub gaps_per_run: f64,
     /// Runs that this rests on.
     pub runs: u32,
 }
 
 impl Speeds {
     /// Whether it rests on enough runs to be acted on.
-    pub fn are_known(&self) -> bool {
+    pub fn are_reliable(&self) -> bool {
         self.runs >= KNOWN_FROM
     }
 }
@@ -118,18 +118,26 @@
 
 impl Observer {
     /// Counts a run that begins.
-    pub fn begin(&mut self, prompt: u64, unread: u64) {
-        self.totals += Totals { runs: 1, prompt, unread };
+    pub fn begin(&mut self, prompt_tokens: u64, uncached_tokens: u64) {
+        self.totals += Totals { runs: 1, prompt_tokens, uncached_tokens };
     }
 
     /// Takes in what was seen of a run whose first event came.
     pub fn observe(&mut self, run: &Run) {
-        keep(&mut self.reads, RUNS_KEPT, (run.unread as f64, run.first_after.as_secs_f64()));
-        if run.pauses >= PAUSES_LEAST {
-            keep(&mut self.paces, RUNS_KEPT, run.generating.as_secs_f64() / f64::from(run.pauses));
+        keep(
+            &mut self.reads,
+            RUNS_KEPT,
+            (run.uncached_tokens as f64, run.time_to_first_event.as_secs_f64()),
+        );
+        if run.gaps >= PAUSES_LEAST {
+            keep(
+                &mut self.paces,
+                RUNS_KEPT,
+                run.generation_time.as_secs_f64() / f64::from(run.gaps),
+            );
         }
-        if run.whole {
-            keep(&mut self.lengths, RUNS_KEPT, f64::from(run.pauses));
+        if run.completed {
+            keep(&mut self.lengths, RUNS_KEPT, f64::from(run.gaps));
         }
         self.unused += 1;
     }
@@ -149,10 +157,10 @@
             keep(&mut self.estimates, ESTIMATES_KEPT, estimate);
             let mut firsts: Vec<f64> = self.reads.iter().map(|(_, first)| *first).collect();
             self.speeds = Speeds {
-                token: fastest(self.estimates.iter().map(|(token, _)| *token)),
-                first: quantile(&mut firsts, 0.5),
-                pause: fastest(self.estimates.iter().map(|(_, pause)| *pause)),
-                pauses: self.lengths.iter().sum::<f64>() / self.lengths.len().max(1) as f64,
+                prompt_token_s: fastest(self.estimates.iter().map(|(token, _)| *token)),
+                first_event_s: quantile(&mut firsts, 0.5),
+                gap_s: fastest(self.estimates.iter().map(|(_, pause)| *pause)),
+                gaps_per_run: self.lengths.iter().sum::<f64>() / self.lengths.len().max(1) as f64,
                 runs: self.reads.len() as u32,
             };
         }
@@ -215,12 +223,12 @@
         });
         middle.map_or(0.0, |(value, _)| *value)
     };
-    let pauses: f64 = seen.iter().map(|speeds| speeds.pauses * f64::from(speeds.runs)).sum();
+    let pauses: f64 = seen.iter().map(|speeds| speeds.gaps_per_run * f64::from(speeds.runs)).sum();
     Speeds {
-        token: median(|speeds| speeds.token),
-        first: median(|speeds| speeds.first),
-        pause: median(|speeds| speeds.pause),
-        pauses: pauses / f64::from(runs.max(1)),
+        prompt_token_s: median(|speeds| speeds.prompt_token_s),
+        first_event_s: median(|speeds| speeds.first_event_s),
+        gap_s: median(|speeds| speeds.gap_s),
+        gaps_per_run: pauses / f64::from(runs.max(1)),
         runs,
     }
 }
--- a/crates/vaneway-limit/src/gate.rs
+++ b/crates/vaneway-limit/src/gate.rs
@@ -5,8 +5,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Named;
-use crate::Time;
+use crate::AdvertisedLimit;
+use crate::EpochTime;
 
 /// Length of an interval. Long enough that a box with a few requests a second has one in most intervals that are its
 /// own; short against the seconds over which operators count.
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Sender {
     /// The cluster's time.
-    pub now: Time,
+    pub now: EpochTime,
     /// Which box it is; none while it doesn't know, and then it sends nothing to an endpoint with a limit.
     pub number: Option<BoxNumber>,
 }
@@ -47,7 +47,7 @@
 pub struct Gate {
     /// Number of the endpoint, the same at every box.
     key: u64,
-    named: Option<Named>,
+    limit: Option<AdvertisedLimit>,
     /// Interval of the latest request, and how many were sent in it.
     sent: (u64, u32),
 }
@@ -59,17 +59,17 @@
     }
 
     /// Puts in force what the endpoint named.
-    pub fn put(&mut self, named: Named) {
-        self.named = Some(named);
+    pub fn set_limit(&mut self, limit: AdvertisedLimit) {
+        self.limit = Some(limit);
     }
 
     /// What the endpoint named last.
-    pub fn named(&self) -> Option<&Named> {
-        self.named.as_ref()
+    pub fn limit(&self) -> Option<&AdvertisedLimit> {
+        self.limit.as_ref()
     }
 
     /// Whether there is a limit now.
-    pub fn is_limited(&self, now: Time) -> bool {
+    pub fn is_limited(&self, now: EpochTime) -> bool {
         self.limit_at(now).is_some()
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Counts a request that is sent.
-    pub fn count(&mut self, sender: Sender) {
+    pub fn record_sent(&mut self, sender: Sender) {
         let interval = self.interval(sender.now);
         let (sent_in, sent) = self.sent;
         self.sent = (interval, if sent_in == interval { sent + 1 } else { 1 });
@@ -91,21 +91,21 @@
 
     /// The interval of a time. Those of different endpoints begin at different times, so that boxes don't turn to all
     /// of them at once.
-    fn interval(&self, now: Time) -> u64 {
+    fn interval(&self, now: EpochTime) -> u64 {
         let offset = self.key % INTERVAL.as_nanos() as u64;
         ((now.as_nanos() + u128::from(offset)) / INTERVAL.as_nanos()) as u64
     }
 
     /// The interval of a time, and the requests a second from all boxes together in it; none if there is no limit. Most
     /// endpoints have none, and every choice among endpoints asks, so nothing is worked out for these.
-    fn limit_at(&self, now: Time) -> Option<(u64, f64)> {
-        let named = self.named?;
-        let rate = named.rate.per_second().max(RATE_LEAST);
+    fn limit_at(&self, now: EpochTime) -> Option<(u64, f64)> {
+        let limit = self.limit?;
+        let rate = limit.rate.per_second().max(RATE_LEAST);
         let interval = self.interval(now);
-        if !named.ended {
+        if !limit.lifted {
             return Some((interval, rate));
         }
-        let since = interval.saturating_sub(self.interval(named.at));
+        let since = interval.saturating_sub(self.interval(limit.seen_at));
         let is_lifted = INTERVAL.as_secs_f64() * since as f64 >= LIFTED_OVER.as_secs_f64();
         (!is_lifted).then(|| (interval, rate * (since as f64).exp2()))
     }
--- a/crates/vaneway-limit/src/lib.rs
+++ b/crates/vaneway-limit/src/lib.rs
@@ -3,8 +3,8 @@
 //! Why: an endpoint in need names in its answers how many requests a second it takes from all entry boxes together, for as
 //! long as it says so. That can be less than one for hundreds of boxes, none of which knows what the others send.
 //!
-//! Data flow: a box tells its [`NamedLimits`] what each answer names ([`NamedLimits::answered`]). What others have to
-//! know comes out of [`NamedLimits::take_news`], and what they saw goes in by [`NamedLimits::merge`]. What is known of an
+//! Data flow: a box tells its [`EndpointLimits`] what each answer names ([`EndpointLimits::record_response`]). What others have to
+//! know comes out of [`EndpointLimits::take_updates`], and what they saw goes in by [`EndpointLimits::merge`]. What is known of an
 //! endpoint goes to its [`Gate`], which every attempt passes.
 //!
 //! How the sum holds: time is cut into intervals, each of which has so many requests by the limit, and each of these
@@ -21,10 +21,10 @@
 pub use gate::Gate;
 pub use gate::INTERVAL;
 pub use gate::Sender;
-pub use named::Named;
-pub use named::NamedLimit;
-pub use named::NamedLimits;
-pub use named::Time;
+pub use named::AdvertisedLimit;
+pub use named::EndpointLimit;
+pub use named::EndpointLimits;
+pub use named::EpochTime;
 pub use number::NumberError;
-pub use number::read_number;
+pub use number::parse_number;
 pub use rate::Rate;
--- a/crates/vaneway-limit/src/number.rs
+++ b/crates/vaneway-limit/src/number.rs
@@ -37,7 +37,7 @@
 /// # Errors
 ///
 /// If it is none, or below zero.
-pub fn read_number(text: &str) -> Result<f64, NumberError> {
+pub fn parse_number(text: &str) -> Result<f64, NumberError> {
     let is_decimal = |c: char| c.is_ascii_digit() || matches!(c, '.' | '+' | '-');
     let text = text.trim();
     if !text.chars().all(is_decimal) {
--- a/crates/vaneway-limit/src/rate.rs
+++ b/crates/vaneway-limit/src/rate.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use crate::NumberError;
-use crate::read_number;
+use crate::parse_number;
 
 /// Parts of a request in which rates are kept, so that they compare exactly.
 const MILLIONTHS: f64 = 1e6;
@@ -28,7 +28,7 @@
 
     /// Reads a decimal number; one that is larger than any limit becomes the largest.
     fn from_str(text: &str) -> Result<Self, NumberError> {
-        Ok(Self((read_number(text)? * MILLIONTHS).round() as u64))
+        Ok(Self((parse_number(text)? * MILLIONTHS).round() as u64))
     }
 }
 
--- a/crates/vaneway-quarantine/src/lib.rs
+++ b/crates/vaneway-quarantine/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! Data flow: a box tells its [`Quarantine`] under which of its requests an endpoint ended
 //! ([`Quarantine::record_crash`]) and which are answered whole ([`Quarantine::clear`]). What others have to know
-//! comes out as [`QuarantineRecord`]s ([`Quarantine::take_news`]), and what they found goes in by [`Quarantine::merge`].
+//! comes out as [`QuarantineRecord`]s ([`Quarantine::take_updates`]), and what they found goes in by [`Quarantine::merge`].
 //!
 //! The evidence against a request is the set of endpoints that ended under it; one that starts again under its name and ends
 //! again counts again. An end counts unless
@@ -242,7 +242,7 @@
     }
 
     /// What this box found since this was last asked.
-    pub fn take_news(&mut self) -> Vec<QuarantineRecord> {
+    pub fn take_updates(&mut self) -> Vec<QuarantineRecord> {
         std::mem::take(&mut self.news)
     }
 
--- a/crates/vaneway-route/src/endpoint.rs
+++ b/crates/vaneway-route/src/endpoint.rs
@@ -17,7 +17,7 @@
 use vaneway_chart::chart_names;
 use vaneway_limit::Gate;
 
-use crate::expected::PART_KEPT;
+use crate::expected::CACHED_PART_MAX_AGE;
 
 /// Position of a service in the settings.
 pub type ServiceId = u32;
@@ -122,7 +122,7 @@
     /// No new work before this time.
     pub suspended_until: Option<Instant>,
     /// It wants nothing from this box before this time.
-    pub rests_until: Option<Instant>,
+    pub backoff_until: Option<Instant>,
     /// Failures since it last answered.
     pub failures: u32,
     /// Requests this box has open there.
@@ -130,19 +130,19 @@
     /// Tokens this box expects to be worked on there.
     pub open_tokens: u64,
     /// What the other entry boxes have open there, as last told.
-    pub others: Load,
+    pub others_load: Load,
     /// When the others' load was told.
-    pub others_told: Option<Instant>,
+    pub others_load_at: Option<Instant>,
     /// Recent failures, each worth 1 at first and less with time.
-    pub trouble: Fading,
+    pub recent_failures: DecayingSum,
     /// Answers that arrive from there piece by piece.
-    pub arriving: u32,
+    pub responding: u32,
     /// When bytes of such an answer last came.
-    pub heard: Option<Instant>,
+    pub last_progress: Option<Instant>,
     /// Admits requests while the endpoint names a limit.
     pub gate: Gate,
     /// Prompt parts that requests brought there, as far as this box knows, and when last.
-    pub parts: BTreeMap<PartId, Instant>,
+    pub cached_parts: BTreeMap<PartId, Instant>,
 }
 
 /// What is open at an endpoint.
@@ -159,15 +159,15 @@
 
 /// A sum of events, each of which counts less with time.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Fading {
+pub struct DecayingSum {
     value: f64,
     at: Option<Instant>,
 }
 
-/// Time in which an event of a [`Fading`] sum loses half of its worth.
+/// Time in which an event of a [`DecayingSum`] sum loses half of its worth.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
-impl Fading {
+impl DecayingSum {
     /// The sum at `now`.
     pub fn value(&self, now: Instant) -> f64 {
         let passed = self.at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
@@ -201,16 +201,16 @@
             retired: VecDeque::new(),
             gone_at: None,
             suspended_until: None,
-            rests_until: None,
+            backoff_until: None,
             failures: 0,
             open: 0,
             open_tokens: 0,
-            others: Load::default(),
-            others_told: None,
-            trouble: Fading::default(),
-            arriving: 0,
-            heard: None,
-            parts: BTreeMap::new(),
+            others_load: Load::default(),
+            others_load_at: None,
+            recent_failures: DecayingSum::default(),
+            responding: 0,
+            last_progress: None,
+            cached_parts: BTreeMap::new(),
         }
     }
 
@@ -222,13 +222,13 @@
 
     /// When its suspension and its rest are over, if it has either.
     pub(crate) fn takes_work_from(&self) -> Option<Instant> {
-        self.suspended_until.max(self.rests_until)
+        self.suspended_until.max(self.backoff_until)
     }
 
     /// How long nothing has come of the answers that should be arriving; none if there are none.
     pub fn silence(&self, now: Instant) -> Option<Duration> {
-        let heard = self.heard.filter(|_| self.arriving > 0)?;
-        Some(now.saturating_duration_since(heard))
+        let last_progress = self.last_progress.filter(|_| self.responding > 0)?;
+        Some(now.saturating_duration_since(last_progress))
     }
 
     /// Whether there is room for one more request.
@@ -243,8 +243,8 @@
 
     /// Drops the prompt parts that no longer count once there are many.
     pub(crate) fn forget_parts(&mut self, now: Instant) {
-        if self.parts.len() > PARTS_MOST {
-            self.parts.retain(|_, at| now < *at + PART_KEPT);
+        if self.cached_parts.len() > PARTS_MOST {
+            self.cached_parts.retain(|_, at| now < *at + CACHED_PART_MAX_AGE);
         }
     }
 
@@ -278,7 +278,7 @@
     /// Starts over as a new instance.
     pub(crate) fn reset(&mut self) {
         self.restore();
-        self.rests_until = None;
+        self.backoff_until = None;
         self.gone_at = None;
     }
 
--- a/crates/vaneway-route/src/expected.rs
+++ b/crates/vaneway-route/src/expected.rs
@@ -46,7 +46,7 @@
 
 /// Time after which a part is no longer taken as kept: in it an endpoint under load reads more than
 /// its memory holds.
-pub const PART_KEPT: Duration = Duration::from_secs(20);
+pub const CACHED_PART_MAX_AGE: Duration = Duration::from_secs(20);
 
 /// How sure it is that the endpoint with the highest weight has a part that no box is known to have brought
 /// there.
@@ -90,7 +90,7 @@
         }
         let distance =
             if endpoint.spec.availability_zone == query.home { 0.0 } else { DISTANCE_TOKENS };
-        let failures = endpoint.trouble.value(now) * FAILURE_TOKENS;
+        let failures = endpoint.recent_failures.value(now) * FAILURE_TOKENS;
         let silence = if silent_zones.covers(endpoint, now) { SILENCE_TOKENS } else { 0.0 };
         open_work(endpoint, now) + (prompt - kept).max(0.0) + distance + failures + silence
     };
@@ -140,7 +140,7 @@
 
 /// Whether a part was brought to an endpoint so lately that it is taken as kept.
 fn is_kept(endpoint: &Endpoint, part: PartId, now: Instant) -> bool {
-    endpoint.parts.get(&part).is_some_and(|at| now < *at + PART_KEPT)
+    endpoint.cached_parts.get(&part).is_some_and(|at| now < *at + CACHED_PART_MAX_AGE)
 }
 
 /// Tokens that have yet to be read at an endpoint, of all boxes.
@@ -150,8 +150,8 @@
 
 /// What the other boxes have open at an endpoint, as far as that is known.
 fn others(endpoint: &Endpoint, now: Instant) -> Load {
-    let known = endpoint.others_told.is_some_and(|told| now < told + OTHERS_KNOWN);
-    if known { endpoint.others } else { Load::default() }
+    let known = endpoint.others_load_at.is_some_and(|told| now < told + OTHERS_KNOWN);
+    if known { endpoint.others_load } else { Load::default() }
 }
 
 /// The work open at an endpoint.
--- a/crates/vaneway-route/src/policy.rs
+++ b/crates/vaneway-route/src/policy.rs
@@ -120,7 +120,7 @@
         now: Instant,
         query: &Query<'_>,
     ) -> Option<EndpointId> {
-        if let Some(hash) = query.apart {
+        if let Some(hash) = query.isolation_hash {
             return expected::pick_apart(endpoints, candidates, now, hash);
         }
         let prefix = query.prefix;
--- a/crates/vaneway-route/src/pool.rs
+++ b/crates/vaneway-route/src/pool.rs
@@ -5,7 +5,7 @@
 
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use vaneway_limit::Named;
+use vaneway_limit::AdvertisedLimit;
 use vaneway_limit::Sender;
 
 use crate::Endpoint;
@@ -21,7 +21,7 @@
 use crate::Work;
 use crate::endpoint_chart;
 use crate::expected;
-use crate::expected::PART_KEPT;
+use crate::expected::CACHED_PART_MAX_AGE;
 use crate::policy::Chooser;
 use crate::silence::SilentZones;
 
@@ -40,23 +40,23 @@
     pub work: Option<&'a Work>,
     /// Hash by which the request is placed apart from others of its kind, in place of where it costs least: an
     /// endpoint ended under it, and those that ran beside it must not meet again at the next one.
-    pub apart: Option<u64>,
+    pub isolation_hash: Option<u64>,
     /// When its first event has to come, if that is to be held.
-    pub pace: Option<Pace>,
+    pub queue_limit: Option<QueueLimit>,
     /// What the limits that endpoints name leave to this box.
     pub sender: Sender,
 }
 
 /// What decides whether an engine's queue is short enough for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
+pub struct QueueLimit {
     /// Seconds in which an engine reads a token of a prompt.
-    pub token: f64,
+    pub seconds_per_token: f64,
     /// Time that the work before the request may take. Its own prompt does not count: one that takes long to read does
     /// so anywhere.
-    pub within: Duration,
+    pub max_wait: Duration,
     /// Prompt tokens that all boxes together bring before they hear of each other.
-    pub unheard: f64,
+    pub unreported_tokens: f64,
 }
 
 /// The answer to a [`Query`].
@@ -69,7 +69,7 @@
     /// All that could take it have named limits, and what this box may send of them is sent.
     Limited,
     /// All that could take it have more work than can be done in time.
-    Late,
+    QueuesTooLong,
     /// None can take it before the given time, if one is known.
     Unavailable {
         /// When the first of them is over a suspension or a rest.
@@ -99,7 +99,7 @@
 
 /// Age from which a use of a kept prompt part is news to the other boxes again: often enough that a part in
 /// use never counts as forgotten.
-const PART_TOLD_AGAIN: Duration = Duration::from_secs(PART_KEPT.as_secs() / 2);
+const PART_TOLD_AGAIN: Duration = Duration::from_secs(CACHED_PART_MAX_AGE.as_secs() / 2);
 
 /// Brought prompt parts that wait to be told; beyond it they are known to this box alone.
 const BROUGHT_MOST: usize = 4_096;
@@ -162,7 +162,7 @@
     ) {
         let endpoint = &mut self.endpoints[id as usize];
         if event == EndpointEvent::Failed {
-            endpoint.trouble.add(now, 1.0);
+            endpoint.recent_failures.add(now, 1.0);
         }
         let step = endpoint_chart().step(endpoint.state, event);
         endpoint.state = step.to;
@@ -182,7 +182,7 @@
 
     /// Notes that some box found an endpoint to have ended. It gets no work for `ENDED_FOR`, since it may have started
     /// again at its address.
-    pub fn ended(&mut self, now: Instant, id: EndpointId, out: &mut Vec<Effect>) {
+    pub fn record_exit(&mut self, now: Instant, id: EndpointId, out: &mut Vec<Effect>) {
         self.handle(now, id, EndpointEvent::Failed, out);
         let endpoint = &mut self.endpoints[id as usize];
         if endpoint.state == EndpointState::Suspect {
@@ -192,14 +192,14 @@
 
     /// Notes that an endpoint refused a request. It is not suspended for that, since it answers, but
     /// others are preferred for a while.
-    pub fn refused(&mut self, now: Instant, id: EndpointId) {
-        self.endpoints[id as usize].trouble.add(now, REFUSAL_WORTH);
+    pub fn record_refusal(&mut self, now: Instant, id: EndpointId) {
+        self.endpoints[id as usize].recent_failures.add(now, REFUSAL_WORTH);
     }
 
     /// Notes that an endpoint wants nothing from this box before `until`. What it answers meanwhile ends no rest.
-    pub fn rest(&mut self, id: EndpointId, until: Instant) {
+    pub fn back_off(&mut self, id: EndpointId, until: Instant) {
         let endpoint = &mut self.endpoints[id as usize];
-        endpoint.rests_until = endpoint.rests_until.max(Some(until));
+        endpoint.backoff_until = endpoint.backoff_until.max(Some(until));
     }
 
     /// Marks an endpoint as leaving, to be gone at `gone_at`. A second notice can only bring the
@@ -222,7 +222,7 @@
     ///
     /// The platform's list lags: it may name an instance that was replaced already, which must
     /// not bring that one back. So an instance once replaced is remembered and never returns.
-    pub fn listed(
+    pub fn set_instance(
         &mut self,
         now: Instant,
         id: EndpointId,
@@ -262,7 +262,7 @@
     pub fn choose(&mut self, now: Instant, query: Query<'_>) -> Choice {
         let choice = self.choose_among_open(now, query);
         if let Choice::Endpoint(id) = choice {
-            self.endpoints[id as usize].gate.count(query.sender);
+            self.endpoints[id as usize].gate.record_sent(query.sender);
         }
         choice
     }
@@ -277,11 +277,11 @@
         let weighed = self.chooser.policy() == Policy::ExpectedWork;
         for preferred in preferences.into_iter().skip(usize::from(weighed)) {
             self.collect(now, &query, preferred);
-            if let Some(pace) = query.pace.filter(|_| !self.candidates.is_empty()) {
-                match self.keep_those_in_time(now, pace, query.sender) {
+            if let Some(queue_limit) = query.queue_limit.filter(|_| !self.candidates.is_empty()) {
+                match self.keep_those_in_time(now, queue_limit, query.sender) {
                     InTime::Some => {}
                     InTime::One(id) => return Choice::Endpoint(id),
-                    InTime::None => return Choice::Late,
+                    InTime::None => return Choice::QueuesTooLong,
                 }
             }
             let candidates = &self.candidates;
@@ -318,13 +318,18 @@
     /// spreads it as the room is spread.
     ///
     /// What a limit leaves to this box is no other's, so there is nothing to draw.
-    fn keep_those_in_time(&mut self, now: Instant, pace: Pace, sender: Sender) -> InTime {
-        let most = pace.within.as_secs_f64() / pace.token;
+    fn keep_those_in_time(
+        &mut self,
+        now: Instant,
+        queue_limit: QueueLimit,
+        sender: Sender,
+    ) -> InTime {
+        let most = queue_limit.max_wait.as_secs_f64() / queue_limit.seconds_per_token;
         let ahead = |id: EndpointId| expected::tokens_ahead(&self.endpoints[id as usize], now);
         let room = |id: EndpointId| most - ahead(id) as f64;
         let rooms: Vec<f64> = self.candidates.iter().map(|id| room(*id)).collect();
         let all: f64 = rooms.iter().map(|room| room.max(0.0)).sum();
-        if all > AMPLE * pace.unheard {
+        if all > AMPLE * queue_limit.unreported_tokens {
             let mut rooms = rooms.iter();
             self.candidates.retain(|_| rooms.next().is_some_and(|room| *room > 0.0));
             return InTime::Some;
@@ -336,7 +341,7 @@
             self.candidates = own;
             return InTime::Some;
         }
-        if self.chooser.draw() * pace.unheard.max(all) >= all {
+        if self.chooser.draw() * queue_limit.unreported_tokens.max(all) >= all {
             return InTime::None;
         }
         let mut left = self.chooser.draw() * all;
@@ -364,9 +369,9 @@
 
     /// When a service's first endpoint is over its rest, if all want nothing until then. A suspension is this box's guess, and
     /// no such time.
-    pub fn rests_until(&self, service: ServiceId) -> Option<Instant> {
+    pub fn backoff_until(&self, service: ServiceId) -> Option<Instant> {
         let first = self.first_to_take_work(service)?;
-        first.rests_until.filter(|rest| Some(*rest) >= first.suspended_until)
+        first.backoff_until.filter(|rest| Some(*rest) >= first.suspended_until)
     }
 
     /// The endpoint of a service that waits for the shortest time, be it for a rest or a suspension.
@@ -379,13 +384,19 @@
 
     /// Counts an attempt that begins: `tokens` of work, or what the endpoint must read of a prompt.
     /// The shared parts of the prompt will be kept there. Returns the tokens that were counted.
-    pub fn begin(&mut self, now: Instant, id: EndpointId, tokens: u64, work: Option<&Work>) -> u64 {
+    pub fn begin_attempt(
+        &mut self,
+        now: Instant,
+        id: EndpointId,
+        tokens: u64,
+        work: Option<&Work>,
+    ) -> u64 {
         let endpoint = &mut self.endpoints[id as usize];
         let tokens = work.map_or(tokens, |work| expected::unread(endpoint, work, now));
         endpoint.open += 1;
         endpoint.open_tokens += tokens;
         for part in work.map_or(&[][..], Work::shared) {
-            let before = endpoint.parts.insert(part.id, now);
+            let before = endpoint.cached_parts.insert(part.id, now);
             let is_news = before.is_none_or(|at| now >= at + PART_TOLD_AGAIN);
             if is_news && self.brought.len() < BROUGHT_MOST {
                 self.brought.push((id, part.id));
@@ -397,56 +408,56 @@
 
     /// Prompt parts that requests of this box brought to endpoints since this was last asked, where that is
     /// news to the other boxes.
-    pub fn take_brought(&mut self) -> Vec<(EndpointId, PartId)> {
+    pub fn take_new_parts(&mut self) -> Vec<(EndpointId, PartId)> {
         std::mem::take(&mut self.brought)
     }
 
     /// Learns that requests of other boxes brought prompt parts to an endpoint.
-    pub fn tell_parts(&mut self, now: Instant, id: EndpointId, parts: &[PartId]) {
+    pub fn record_cached_parts(&mut self, now: Instant, id: EndpointId, parts: &[PartId]) {
         let endpoint = &mut self.endpoints[id as usize];
-        endpoint.parts.extend(parts.iter().map(|part| (*part, now)));
+        endpoint.cached_parts.extend(parts.iter().map(|part| (*part, now)));
         endpoint.forget_parts(now);
     }
 
-    /// Counts that the answer of an attempt begins to arrive; `tokens` as [`Pool::begin`] returned
+    /// Counts that the answer of an attempt begins to arrive; `tokens` as [`Pool::begin_attempt`] returned
     /// them.
-    pub fn begun(&mut self, now: Instant, id: EndpointId, tokens: u64) {
+    pub fn begin_response(&mut self, now: Instant, id: EndpointId, tokens: u64) {
         let endpoint = &mut self.endpoints[id as usize];
         endpoint.open_tokens -= tokens;
-        endpoint.arriving += 1;
-        endpoint.heard = Some(now);
+        endpoint.responding += 1;
+        endpoint.last_progress = Some(now);
     }
 
     /// Notes that a piece of an answer arrived from an endpoint.
-    pub fn heard(&mut self, now: Instant, id: EndpointId) {
-        self.endpoints[id as usize].heard = Some(now);
+    pub fn record_progress(&mut self, now: Instant, id: EndpointId) {
+        self.endpoints[id as usize].last_progress = Some(now);
     }
 
     /// Counts an attempt that ended, with `tokens` of work that had not begun; `arriving` if its
     /// answer had begun to arrive.
-    pub fn end(&mut self, id: EndpointId, tokens: u64, arriving: bool) {
+    pub fn end_attempt(&mut self, id: EndpointId, tokens: u64, arriving: bool) {
         let endpoint = &mut self.endpoints[id as usize];
         endpoint.open -= 1;
         endpoint.open_tokens -= tokens;
-        endpoint.arriving -= u32::from(arriving);
+        endpoint.responding -= u32::from(arriving);
     }
 
     /// Whether an endpoint seems to be out of reach: its answers have stopped arriving, or there
     /// are none and those of all others in its availability zone have.
-    pub fn is_silent(&self, now: Instant, id: EndpointId) -> bool {
+    pub fn is_unresponsive(&self, now: Instant, id: EndpointId) -> bool {
         SilentZones::of(&self.endpoints, now).covers(self.get(id), now)
     }
 
     /// Puts in force what an endpoint named as its limit.
-    pub fn limit(&mut self, id: EndpointId, named: Named) {
-        self.endpoints[id as usize].gate.put(named);
+    pub fn set_limit(&mut self, id: EndpointId, named: AdvertisedLimit) {
+        self.endpoints[id as usize].gate.set_limit(named);
     }
 
     /// Learns what the other entry boxes have open at an endpoint.
-    pub fn tell_others(&mut self, now: Instant, id: EndpointId, load: Load) {
+    pub fn set_others_load(&mut self, now: Instant, id: EndpointId, load: Load) {
         let endpoint = &mut self.endpoints[id as usize];
-        endpoint.others = load;
-        endpoint.others_told = Some(now);
+        endpoint.others_load = load;
+        endpoint.others_load_at = Some(now);
     }
 }
 
--- a/crates/vaneway-route/src/silence.rs
+++ b/crates/vaneway-route/src/silence.rs
@@ -15,7 +15,7 @@
 
 /// Pause in all of an endpoint's answers after which it counts as silent: engines under load make a
 /// piece of some answer every few ten milliseconds.
-pub const SILENT_AFTER: Duration = Duration::from_millis(400);
+pub const UNRESPONSIVE_THRESHOLD: Duration = Duration::from_millis(400);
 
 /// What is seen of the endpoints of one availability zone.
 #[derive(Debug)]
@@ -30,8 +30,8 @@
 pub(crate) struct SilentZones<'a>(Vec<Zone<'a>>);
 
 /// Whether all answers of an endpoint have stopped; none if there are none.
-fn is_silent(endpoint: &Endpoint, now: Instant) -> Option<bool> {
-    endpoint.silence(now).map(|silence| silence >= SILENT_AFTER)
+fn is_unresponsive(endpoint: &Endpoint, now: Instant) -> Option<bool> {
+    endpoint.silence(now).map(|silence| silence >= UNRESPONSIVE_THRESHOLD)
 }
 
 impl<'a> SilentZones<'a> {
@@ -39,7 +39,7 @@
     pub(crate) fn of(endpoints: &'a [Endpoint], now: Instant) -> Self {
         let mut zones: Vec<Zone<'a>> = Vec::new();
         for endpoint in endpoints {
-            let Some(silent) = is_silent(endpoint, now) else { continue };
+            let Some(silent) = is_unresponsive(endpoint, now) else { continue };
             let name = endpoint.spec.availability_zone.as_str();
             match zones.iter_mut().find(|zone| zone.name == name) {
                 Some(zone) => zone.heard |= !silent,
@@ -55,6 +55,6 @@
             let zone = self.0.iter().find(|zone| zone.name == endpoint.spec.availability_zone);
             zone.is_some_and(|zone| !zone.heard)
         };
-        is_silent(endpoint, now).unwrap_or_else(of_zone)
+        is_unresponsive(endpoint, now).unwrap_or_else(of_zone)
     }
 }
--- a/crates/vaneway-server/src/core/cached_parts.rs
+++ b/crates/vaneway-server/src/core/cached_parts.rs
@@ -5,14 +5,14 @@
 //! given to endpoints for more than it is.
 //!
 //! Data flow: an entry box tells which parts it brought where ([`PartLedger::record`]), unless it knows
-//! that they are told already. What is news goes to all entry boxes once ([`PartLedger::take_news`]).
+//! that they are told already. What is news goes to all entry boxes once ([`PartLedger::take_updates`]).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use std::time::Instant;
 
 use vaneway_registry::InstanceId;
-use vaneway_route::PART_KEPT;
+use vaneway_route::CACHED_PART_MAX_AGE;
 use vaneway_route::PartId;
 
 /// Prompt parts by the endpoint that keeps them.
@@ -48,7 +48,7 @@
     }
 
     /// What was learned since this was last asked.
-    pub fn take_news(&mut self) -> CachedParts {
+    pub fn take_updates(&mut self) -> CachedParts {
         let mut news = BTreeMap::<InstanceId, Vec<PartId>>::new();
         for (instance, part) in self.news.drain(..) {
             news.entry(instance).or_default().push(part);
@@ -65,7 +65,7 @@
     /// Forgets what no longer counts.
     pub fn expire(&mut self, now: Instant) {
         for parts in self.known.values_mut() {
-            parts.retain(|_, at| now < *at + PART_KEPT);
+            parts.retain(|_, at| now < *at + CACHED_PART_MAX_AGE);
         }
         self.known.retain(|_, parts| !parts.is_empty());
     }
--- a/crates/vaneway-server/src/core/calls/attempt.rs
+++ b/crates/vaneway-server/src/core/calls/attempt.rs
@@ -17,19 +17,19 @@
 use vaneway_relay::AttemptEvent;
 use vaneway_relay::Outcome;
 use vaneway_route::EndpointId;
-use vaneway_route::SILENT_AFTER;
+use vaneway_route::UNRESPONSIVE_THRESHOLD;
 
 use crate::core::calls::call_limits::CallLimits;
 use crate::core::calls::events::EventCutter;
 use crate::core::calls::events::RawEvent;
-use crate::core::endpoints::link::LinkBody;
+use crate::core::endpoints::link::ConnectionBody;
 use crate::core::endpoints::protocol::CallRequest;
+use crate::core::endpoints::protocol::Dispatch;
 use crate::core::endpoints::protocol::EndpointProtocol;
-use crate::core::endpoints::protocol::Sending;
-use crate::core::endpoints::protocol::Verdict;
+use crate::core::endpoints::protocol::ResponseKind;
 use crate::core::endpoints::registered;
-use crate::core::endpoints::upstream::Answered;
 use crate::core::endpoints::upstream::SendError;
+use crate::core::endpoints::upstream::StartedResponse;
 use crate::core::entry::Entry;
 use crate::core::limits;
 use crate::core::limits::LimitObservation;
@@ -121,7 +121,7 @@
     request: Rc<CallRequest>,
     endpoint: EndpointId,
     addr: std::net::SocketAddr,
-    body: LinkBody,
+    body: ConnectionBody,
     attempt: vaneway_relay::Attempt,
     cutter: EventCutter,
     limits: CallLimits,
@@ -144,13 +144,14 @@
     async fn send(self: Box<Self>) -> (CallItem, Stage<E>) {
         let Self { entry, protocol, request, limits, endpoint, occupancy, after } = *self;
         let spec = entry.pool.borrow().get(endpoint).spec.clone();
-        let left = limits.deadline.saturating_duration_since(clock::now());
-        let req = protocol.request(&request, Sending { to: &spec, left, after });
+        let time_left = limits.deadline.saturating_duration_since(clock::now());
+        let req = protocol
+            .request(&request, Dispatch { endpoint: &spec, time_left, resume_after: after });
         let head_by = clock::now() + limits.head_within;
         let fresh = entry.settings.routing.fresh_for_at_most_once && !request.repeatable;
         let sent = entry.connections.send(&entry.timers, spec.address, req, fresh, head_by);
         let sent = unless_silent(&entry, endpoint, request.repeatable, sent).await;
-        let Answered { response, attempt } = match sent {
+        let StartedResponse { response, attempt } = match sent {
             Some(Ok(answered)) => answered,
             Some(Err(SendError { outcome, cause, is_down: true })) => {
                 return (CallItem::Ended { outcome, cause, seen: Seen::Down }, Stage::Over);
@@ -168,22 +169,22 @@
             }
         };
         let (head, body) = response.into_parts();
-        let verdict = protocol.judge(&request, &head);
-        if !matches!(verdict, Verdict::Replaced | Verdict::Foreign) {
+        let verdict = protocol.classify(&request, &head);
+        if !matches!(verdict, ResponseKind::Replaced | ResponseKind::Mismatched) {
             let heard = LimitObservation {
                 endpoint,
                 request: &request.id,
                 service: &request.service_name,
-                succeeded: verdict == Verdict::Answer && head.status.is_success(),
-                named: protocol.named_limit(&head.headers),
+                succeeded: verdict == ResponseKind::Answer && head.status.is_success(),
+                named: protocol.advertised_limit(&head.headers),
             };
             limits::observe_response(&entry, &heard);
-            if protocol.says_leaving(&head.headers) {
-                registered::says_leaving(&entry, endpoint, &request.id);
+            if protocol.is_leaving(&head.headers) {
+                registered::mark_leaving(&entry, endpoint, &request.id);
             }
         }
         let item = match verdict {
-            Verdict::Answer => {
+            ResponseKind::Answer => {
                 let streamed = matches!(request.form, AnswerForm::EventStream { .. });
                 if streamed && head.status.is_success() {
                     let reading = Reading {
@@ -201,14 +202,14 @@
                 }
                 let response = Response::from_parts(head, body);
                 let failed = response.status().is_server_error() && request.repeatable;
-                let answered = Answered { response, attempt };
+                let answered = StartedResponse { response, attempt };
                 let read = read_answer(entry, &*protocol, &request, endpoint, answered).await;
                 match read {
                     CallItem::Answer(response) if failed => CallItem::Failed(response),
                     item => item,
                 }
             }
-            Verdict::Refused => {
+            ResponseKind::Refused => {
                 let refusal = Refusal {
                     endpoint,
                     request: &request.id,
@@ -217,15 +218,15 @@
                     headers: &head.headers,
                 };
                 retry_after::apply_refusal(&entry, &refusal);
-                entry.connections.put_refused(&entry.timers, spec.address, body).await;
+                entry.connections.release_refused(&entry.timers, spec.address, body).await;
                 CallItem::ended(Outcome::Refused, "the endpoint did not run it")
             }
-            Verdict::Replaced => CallItem::Ended {
+            ResponseKind::Replaced => CallItem::Ended {
                 outcome: Outcome::Refused,
                 cause: "another endpoint has the address".to_owned(),
                 seen: Seen::Replaced,
             },
-            Verdict::Foreign => {
+            ResponseKind::Mismatched => {
                 CallItem::ended(Outcome::Unknown, "the answer belongs to another request")
             }
         };
@@ -245,13 +246,13 @@
         return Some(work.await);
     }
     let mut work = pin!(work);
-    let mut look_at = clock::now() + SILENT_AFTER;
+    let mut look_at = clock::now() + UNRESPONSIVE_THRESHOLD;
     loop {
         if let Some(done) = entry.timers.timeout_at(look_at, work.as_mut()).await {
             return Some(done);
         }
         let now = clock::now();
-        if entry.pool.borrow().is_silent(now, endpoint) {
+        if entry.pool.borrow().is_unresponsive(now, endpoint) {
             return None;
         }
         look_at = now + SILENCE_LOOK_EVERY;
@@ -293,7 +294,7 @@
     let Reading { entry, addr, body, mut attempt, mut occupancy, .. } = *reading;
     occupancy.mark_complete();
     let outcome = attempt.handle(AttemptEvent::End).unwrap_or(Outcome::Done);
-    entry.connections.put(addr, body);
+    entry.connections.release(addr, body);
     (CallItem::ended(outcome, ""), Stage::Over)
 }
 
@@ -303,17 +304,17 @@
     protocol: &E,
     request: &CallRequest,
     endpoint: EndpointId,
-    answered: Answered,
+    answered: StartedResponse,
 ) -> CallItem {
     let addr = entry.address(endpoint);
-    let Answered { response, mut attempt } = answered;
+    let StartedResponse { response, mut attempt } = answered;
     let (mut head, mut body) = response.into_parts();
     let mut held = BytesMut::new();
     match body.read_into(&mut held, entry.settings.limits.answer_bytes).await {
         Ok(whole) => {
-            protocol.pass_headers(&mut head.headers);
+            protocol.prepare_headers(&mut head.headers);
             let body = if whole {
-                entry.connections.put(addr, body);
+                entry.connections.release(addr, body);
                 ResponseBody::full(held.freeze())
             } else {
                 pass_on(entry, addr, &held, body)
@@ -333,14 +334,14 @@
     entry: Rc<Entry>,
     addr: std::net::SocketAddr,
     held: &[u8],
-    mut body: LinkBody,
+    mut body: ConnectionBody,
 ) -> ResponseBody {
     let (tx, rx) = outbox(entry.settings.limits.stream_bytes);
     tx.push(held);
     compio::runtime::spawn(async move {
         if feed(&entry, &tx, &mut body).await {
             tx.finish();
-            entry.connections.put(addr, body);
+            entry.connections.release(addr, body);
         }
     })
     .detach();
@@ -348,7 +349,7 @@
 }
 
 /// Moves a body into an outbox; true if all of it arrived.
-async fn feed(entry: &Entry, tx: &Outbox, body: &mut LinkBody) -> bool {
+async fn feed(entry: &Entry, tx: &Outbox, body: &mut ConnectionBody) -> bool {
     loop {
         let until = clock::now() + entry.settings.limits.caller_stall_timeout;
         let room = poll_fn(|cx| match tx.poll_closed(cx) {
--- a/crates/vaneway-server/src/core/calls/call.rs
+++ b/crates/vaneway-server/src/core/calls/call.rs
@@ -43,8 +43,8 @@
 use vaneway_relay::request_chart;
 use vaneway_route::EndpointEvent;
 use vaneway_route::EndpointId;
-use vaneway_route::Pace;
 use vaneway_route::Query;
+use vaneway_route::QueueLimit;
 
 use crate::core::callers::api_error::ApiError;
 use crate::core::calls::attempt::Attempt;
@@ -220,7 +220,7 @@
     fn received(&mut self, attempt: AttemptId, endpoint: EndpointId, item: CallItem) -> Event {
         match item {
             CallItem::Head(mut head) => {
-                self.protocol.pass_headers(&mut head.headers);
+                self.protocol.prepare_headers(&mut head.headers);
                 self.succeeded = head.status.is_success();
                 self.reply.begin(head);
                 Event::Head { attempt }
@@ -291,7 +291,7 @@
         match outcome {
             Outcome::Done => self.entry.apply_event(endpoint, EndpointEvent::Answered),
             Outcome::Refused => {
-                self.entry.pool.borrow_mut().refused(clock::now(), endpoint);
+                self.entry.pool.borrow_mut().record_refusal(clock::now(), endpoint);
             }
             Outcome::NotSent | Outcome::Unknown => {
                 self.entry.apply_event(endpoint, EndpointEvent::Failed);
@@ -392,25 +392,25 @@
 
     fn choose(&self) -> Event {
         let request = &self.request;
-        let apart = match quarantine::placement(&self.entry, request, !self.ended_under.is_empty())
-        {
-            Placement::Forbidden => return Event::Condemned,
-            Placement::Isolated(fingerprint) => Some(fingerprint),
-            Placement::Anywhere => None,
-        };
+        let isolation_hash =
+            match quarantine::placement(&self.entry, request, !self.ended_under.is_empty()) {
+                Placement::Forbidden => return Event::Condemned,
+                Placement::Isolated(fingerprint) => Some(fingerprint),
+                Placement::Anywhere => None,
+            };
         self.entry.choose(Query {
             service: request.service,
             avoid: self.relay.tried(),
             prefix: request.prefix,
             work: request.work.as_ref(),
-            apart,
-            pace: self.pace(),
+            isolation_hash,
+            queue_limit: self.queue_limit(),
             ..Query::default()
         })
     }
 
     /// When the first event has to come, for a request that no endpoint has been asked for: what was begun goes on.
-    fn pace(&self) -> Option<Pace> {
+    fn queue_limit(&self) -> Option<QueueLimit> {
         let request = &self.request;
         let WaitPolicy::IfExpectedBy { deadline } = self.limits.wait_policy else { return None };
         if request.work.is_none() || !self.relay.tried().is_empty() {
@@ -464,7 +464,7 @@
     fn told(&self, failure: Failure) -> ApiError {
         let mut error = ApiError::failed(failure);
         if failure.kind == FailureKind::NoEndpoint {
-            let over = self.entry.pool.borrow().rests_until(self.request.service);
+            let over = self.entry.pool.borrow().backoff_until(self.request.service);
             let left = over.map(|over| over.saturating_duration_since(clock::now()));
             error.retry_after = error.retry_after.map(|after| after.max(left.unwrap_or_default()));
         }
--- a/crates/vaneway-server/src/core/cloud_notices.rs
+++ b/crates/vaneway-server/src/core/cloud_notices.rs
@@ -125,7 +125,7 @@
         BoxState::Gone => Some(EndpointEvent::Removed),
     };
     entry.update_pool(|pool, now, out| {
-        let current = pool.listed(now, endpoint, &listed.instance, out);
+        let current = pool.set_instance(now, endpoint, &listed.instance, out);
         if let Some(event) = event.filter(|_| current) {
             pool.handle(now, endpoint, event, out);
         }
--- a/crates/vaneway-server/src/core/cluster/follow.rs
+++ b/crates/vaneway-server/src/core/cluster/follow.rs
@@ -292,7 +292,7 @@
             ToEntry::Registry(reports) => registered::apply(&self.entry, &reports),
             ToEntry::Remembered { endpoints, left_ms } => {
                 let left = Duration::from_millis(left_ms);
-                registered::remember(&self.entry, &endpoints, left);
+                registered::add_remembered(&self.entry, &endpoints, left);
             }
             ToEntry::ControlBoxes(named) => self.learn_control_boxes(from, &named),
             ToEntry::Loads { whole, loads } => {
@@ -397,7 +397,7 @@
 
     /// Tells the control boxes under which requests endpoints ended here, as far as it is news.
     fn tell_findings(&self) {
-        let findings = self.entry.quarantine.borrow_mut().take_news();
+        let findings = self.entry.quarantine.borrow_mut().take_updates();
         if !findings.is_empty() {
             self.send_to_all(FromEntry::QuarantineRecords(findings));
         }
@@ -405,7 +405,7 @@
 
     /// Tells the control boxes which limits endpoints named here, as far as it is news.
     fn tell_limits(&self) {
-        let limits = limits::take_news(&self.entry);
+        let limits = limits::take_updates(&self.entry);
         if !limits.is_empty() {
             self.send_to_all(FromEntry::Limits(limits));
         }
--- a/crates/vaneway-server/src/core/cluster/wire.rs
+++ b/crates/vaneway-server/src/core/cluster/wire.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use vaneway_agreement::NodeId;
 use vaneway_limit::BoxNumber;
-use vaneway_limit::NamedLimit;
+use vaneway_limit::EndpointLimit;
 use vaneway_quarantine::QuarantineRecord;
 use vaneway_registry::Report;
 
@@ -123,7 +123,7 @@
     /// Requests under which endpoints ended, as far as it is news.
     QuarantineRecords(Vec<QuarantineRecord>),
     /// Limits that endpoints named in answers to me, as far as it is news.
-    Limits(Vec<NamedLimit>),
+    Limits(Vec<EndpointLimit>),
     /// Tell me which version of the configuration is agreed on, now and whenever it changes. Who doesn't say so before its first
     /// ping is told the configurations themselves.
     OfferConfigurations,
@@ -187,7 +187,7 @@
     /// Requests under which endpoints ended, at any entry box.
     QuarantineRecords(Vec<QuarantineRecord>),
     /// Limits that endpoints named in answers to any entry box.
-    Limits(Vec<NamedLimit>),
+    Limits(Vec<EndpointLimit>),
     /// Which of the entry boxes that share the limits of endpoints you are.
     BoxNumber(BoxNumber),
     /// This version of the configuration is agreed on; the answer to [`FromEntry::OfferConfigurations`].
@@ -242,7 +242,7 @@
     /// Requests under which endpoints ended, as far as it is news.
     QuarantineRecords(Vec<QuarantineRecord>),
     /// Limits that endpoints named, as far as it is news.
-    Limits(Vec<NamedLimit>),
+    Limits(Vec<EndpointLimit>),
 }
 
 /// Any first or later message that a control box gets on a connection.
--- a/crates/vaneway-server/src/core/cluster/work_at_endpoints.rs
+++ b/crates/vaneway-server/src/core/cluster/work_at_endpoints.rs
@@ -36,7 +36,7 @@
     let registered = entry.registered.borrow();
     if whole {
         for endpoint in registered.values() {
-            pool.tell_others(now, *endpoint, Load::default());
+            pool.set_others_load(now, *endpoint, Load::default());
         }
     }
     for (instance, load) in loads {
@@ -47,7 +47,7 @@
             requests: load.requests.saturating_sub(own.requests),
             tokens: load.tokens.saturating_sub(own.tokens),
         };
-        pool.tell_others(now, *endpoint, others);
+        pool.set_others_load(now, *endpoint, others);
     }
 }
 
@@ -55,7 +55,7 @@
 pub fn take_brought(entry: &Entry) -> CachedParts {
     let mut pool = entry.pool.borrow_mut();
     let mut parts = BTreeMap::<InstanceId, Vec<PartId>>::new();
-    for (endpoint, part) in pool.take_brought() {
+    for (endpoint, part) in pool.take_new_parts() {
         // An endpoint from the registry is named by its instance.
         let instance = &pool.get(endpoint).spec.name;
         if entry.registered.borrow().contains_key(instance) {
@@ -72,7 +72,7 @@
     let registered = entry.registered.borrow();
     for (instance, parts) in parts {
         if let Some(endpoint) = registered.get(instance) {
-            pool.tell_parts(now, *endpoint, parts);
+            pool.record_cached_parts(now, *endpoint, parts);
         }
     }
 }
--- a/crates/vaneway-server/src/core/control/capacity.rs
+++ b/crates/vaneway-server/src/core/control/capacity.rs
@@ -84,10 +84,10 @@
                     .with("availability_zone", &order.zone)
                     .with("kind", format!("{:?}", order.kind))
                     .with("count", order.count)
-                    .with("limited", format!("{:.2}", input.limited))
+                    .with("limited", format!("{:.2}", input.lost_to_limits))
                     .with("answer", format!("{answer:?}"));
                 with_demand(line, seen, control).info();
-                planner.answered(clock::now(), &order, answer);
+                planner.record_answer(clock::now(), &order, answer);
             }
         }
     }
@@ -107,7 +107,7 @@
             let (input, seen) = self.input(control, service, spec);
             let planner = self.planner(control, service);
             learn_least(planner, seen);
-            planner.watch(clock::now(), &input);
+            planner.observe(clock::now(), &input);
         }
     }
 
@@ -129,7 +129,7 @@
         input.demand = replicas.filter(|_| seen.is_some_and(|seen| seen.news.is_complete()));
         if let Some(demand) = replicas.filter(|demand| *demand > 0.0) {
             let runs = self.rates.get(&service.name).map_or(0.0, |rates| rates.runs);
-            input.limited = limited(control, &service.name, runs / demand);
+            input.lost_to_limits = limited(control, &service.name, runs / demand);
         }
         (input, seen)
     }
@@ -150,14 +150,14 @@
         }
         let since = *self.seen_since.get(&service.name)?;
         let speeds = ledger.speeds(&service.name);
-        if !speeds.are_known() {
+        if !speeds.are_reliable() {
             return None;
         }
-        let size = EngineSize { places: engine.slots, memory: engine.memory_tokens };
+        let size = EngineSize { batch_slots: engine.slots, memory_tokens: engine.memory_tokens };
         let news = ledger.work_coverage(control.now(), telling::sharers(control).known);
         let ReportCoverage { reporting, known, .. } = news;
         let last = self.rates.get(&service.name).copied();
-        let rates = told.of_all(reporting, known, last)?;
+        let rates = told.extrapolate(reporting, known, last)?;
         if reporting >= known {
             self.rates.insert(service.name.clone(), told);
         }
@@ -169,7 +169,7 @@
 /// Tells the planner of a service of a demand that was not seen in full: it may order more by that, not less.
 fn learn_least(planner: &mut Planner, seen: Option<SeenDemand>) {
     if let Some(SeenDemand { demand, .. }) = seen.filter(|seen| !seen.news.is_complete()) {
-        planner.learn_least(clock::now(), demand.replicas());
+        planner.observe_min_demand(clock::now(), demand.replicas());
     }
 }
 
@@ -219,12 +219,12 @@
     Input {
         demand: None,
         zones: zones.map(|(name, price)| Zone { name: name.clone(), price: *price }).collect(),
-        least: spec.least,
-        most: spec.most,
-        start_takes: spec.start_takes,
+        min_per_zone: spec.least,
+        max_per_zone: spec.most,
+        startup_time: spec.start_takes,
         running,
         leaving,
-        limited: 0.0,
+        lost_to_limits: 0.0,
     }
 }
 
@@ -237,7 +237,9 @@
     let limits = control.limits.borrow();
     let registry = control.registry.borrow();
     let lost = registry.iter().filter_map(|(instance, known)| {
-        let named = limits.get(instance).filter(|named| named.is_of(known.born) && !named.ended)?;
+        let named = limits
+            .get(instance)
+            .filter(|named| named.matches_incarnation(known.born) && !named.lifted)?;
         let serves = known.details.as_ref().is_some_and(|details| details.service == service);
         let takes = (named.rate.per_second() / full).min(1.0);
         (serves && known.lifecycle == Lifecycle::Ready).then_some(1.0 - takes)
--- a/crates/vaneway-server/src/core/control/news.rs
+++ b/crates/vaneway-server/src/core/control/news.rs
@@ -7,7 +7,7 @@
 
 use std::cell::Cell;
 
-use vaneway_limit::NamedLimit;
+use vaneway_limit::EndpointLimit;
 use vaneway_quarantine::QuarantineRecord;
 use vaneway_registry::Change;
 use vaneway_registry::Report;
@@ -173,11 +173,11 @@
 
 /// Takes in which limits endpoints named, and has what is news told to the entry boxes that this box tells of others, and
 /// to the other control boxes.
-pub(super) fn learn_limits(control: &Control, told: &[NamedLimit], source: Source) {
+pub(super) fn learn_limits(control: &Control, told: &[EndpointLimit], source: Source) {
     let mut limits = control.limits.borrow_mut();
     let news = limits.merge(control.time(), told);
     control.passed_on.count(Kind::Limits, news.len());
-    limits.pass_on(&news);
+    limits.forward(&news);
     if source != Source::Control {
         let endpoints = news.into_iter().map(|news| news.endpoint);
         control.limits_for_peers.borrow_mut().extend(endpoints);
--- a/crates/vaneway-server/src/core/control/running.rs
+++ b/crates/vaneway-server/src/core/control/running.rs
@@ -38,7 +38,7 @@
 use crate::core::control::store;
 use crate::core::control::store::Write;
 use crate::core::control::telling;
-use crate::core::endpoints::upstream::Connections;
+use crate::core::endpoints::upstream::ConnectionPool;
 use crate::core::settings::ControlSettings;
 use crate::util::body::ResponseBody;
 use crate::util::clock;
@@ -199,7 +199,7 @@
         limits_for_peers: RefCell::default(),
         passed_on: PassedOn::default(),
         clock: RefCell::default(),
-        connections: Connections::reset_on_close(),
+        connections: ConnectionPool::reset_on_close(),
         unreadable: Cell::new(0),
         stopping: Cell::new(false),
         settings,
--- a/crates/vaneway-server/src/core/control/state.rs
+++ b/crates/vaneway-server/src/core/control/state.rs
@@ -20,7 +20,7 @@
 use vaneway_agreement::NodeId;
 use vaneway_agreement::Term;
 use vaneway_agreement::Ticket;
-use vaneway_limit::NamedLimits;
+use vaneway_limit::EndpointLimits;
 use vaneway_quarantine::Quarantine;
 use vaneway_registry::InstanceId;
 use vaneway_registry::Registry;
@@ -39,7 +39,7 @@
 use crate::core::control::protocol::Holder;
 use crate::core::control::store::Write;
 use crate::core::control::telling;
-use crate::core::endpoints::upstream::Connections;
+use crate::core::endpoints::upstream::ConnectionPool;
 use crate::core::settings::ControlSettings;
 use crate::core::usage::UsageLedger;
 use crate::util::clock;
@@ -137,7 +137,7 @@
     /// Requests under which endpoints ended, as entry boxes told.
     pub(crate) quarantine: RefCell<Quarantine>,
     /// Limits that endpoints named, as entry boxes told.
-    pub(crate) limits: RefCell<NamedLimits>,
+    pub(crate) limits: RefCell<EndpointLimits>,
     /// Endpoints whose limits entry boxes told this box and the other control boxes have to hear.
     pub(crate) limits_for_peers: RefCell<BTreeSet<InstanceId>>,
     /// How much news was passed on.
@@ -145,7 +145,7 @@
     /// The cluster's time.
     pub clock: RefCell<Clock>,
     /// Connections to the cloud.
-    pub connections: Connections,
+    pub connections: ConnectionPool,
     /// Messages that could not be read.
     pub unreadable: Cell<u64>,
     /// Whether the box is stopping.
--- a/crates/vaneway-server/src/core/control/telling.rs
+++ b/crates/vaneway-server/src/core/control/telling.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use vaneway_limit::BoxNumber;
-use vaneway_limit::NamedLimit;
+use vaneway_limit::EndpointLimit;
 use vaneway_quota::Sharers;
 use vaneway_quota::Slot;
 
@@ -147,7 +147,7 @@
         if forget {
             parts.expire(clock::now());
         }
-        parts.take_news()
+        parts.take_updates()
     };
     if !news.is_empty() {
         send_to_those_that_want_loads(control, &ToEntry::Parts(news)).await;
@@ -168,15 +168,16 @@
     let news = {
         let mut limits = control.limits.borrow_mut();
         let registry = control.registry.borrow();
-        limits.forget(control.time(), |name, born| limits::may_answer(&registry, name, born));
-        limits.take_news()
+        limits
+            .remove_expired(control.time(), |name, born| limits::may_answer(&registry, name, born));
+        limits.take_updates()
     };
     if news.is_empty() {
         return;
     }
     let heard_here = control.limits_for_peers.take();
     let for_peers = news.iter().filter(|news| heard_here.contains(&news.endpoint));
-    let for_peers: Vec<NamedLimit> = for_peers.cloned().collect();
+    let for_peers: Vec<EndpointLimit> = for_peers.cloned().collect();
     if !for_peers.is_empty() {
         peers::send_to_all(control, BetweenControl::Limits(for_peers));
     }
--- a/crates/vaneway-server/src/core/endpoints/link.rs
+++ b/crates/vaneway-server/src/core/endpoints/link.rs
@@ -5,8 +5,8 @@
 //! for each chunk. Driven in place, all chunks of one read arrive in one poll and leave in one
 //! write. The figures before and after stand in docs/EXPERIMENTS.md.
 //!
-//! Data flow: [`Link::send`] writes a request and returns the head of the answer with a
-//! [`LinkBody`]; its frames drive the connection; once the body has ended, [`LinkBody::into_link`]
+//! Data flow: [`Connection::send`] writes a request and returns the head of the answer with a
+//! [`ConnectionBody`]; its frames drive the connection; once the body has ended, [`ConnectionBody::into_connection`]
 //! gives the connection back for the next request. Dropping either closes the connection.
 
 use std::cell::RefCell;
@@ -40,13 +40,13 @@
 
 /// An open connection.
 #[derive(Debug)]
-pub struct Link {
+pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
     driver: Pin<Box<HttpConnection>>,
     closed: bool,
 }
 
-impl Link {
+impl Connection {
     /// Prepares a connected socket for requests.
     ///
     /// # Errors
@@ -79,7 +79,7 @@
     pub async fn send(
         mut self,
         req: EndpointRequest,
-    ) -> Result<Response<LinkBody>, Box<TrySendError<EndpointRequest>>> {
+    ) -> Result<Response<ConnectionBody>, Box<TrySendError<EndpointRequest>>> {
         let response = self.sender.try_send_request(req);
         futures_util::pin_mut!(response);
         let response = poll_fn(|cx| {
@@ -93,18 +93,18 @@
         })
         .await;
         let response = response.map_err(Box::new)?;
-        Ok(response.map(|body| LinkBody { link: self, body }))
+        Ok(response.map(|body| ConnectionBody { link: self, body }))
     }
 }
 
 /// The body of an answer, with the connection that it arrives on.
 #[derive(Debug)]
-pub struct LinkBody {
-    link: Link,
+pub struct ConnectionBody {
+    link: Connection,
     body: Incoming,
 }
 
-impl LinkBody {
+impl ConnectionBody {
     /// The next piece of data; none at the end.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<hyper::Result<Bytes>>> {
         loop {
@@ -146,23 +146,23 @@
     }
 
     /// The connection, to be used again. Only after the end of the body is it of use.
-    pub fn into_link(self) -> Link {
+    pub fn into_connection(self) -> Connection {
         self.link
     }
 }
 
 /// A body that a stream reads while its owner keeps the connection.
 #[derive(Debug, Clone)]
-pub struct SharedBody(Rc<RefCell<LinkBody>>);
+pub struct SharedBody(Rc<RefCell<ConnectionBody>>);
 
 impl SharedBody {
     /// Shares `body`.
-    pub fn new(body: LinkBody) -> Self {
+    pub fn new(body: ConnectionBody) -> Self {
         Self(Rc::new(RefCell::new(body)))
     }
 
     /// The body, if this is the last to hold it.
-    pub fn into_body(self) -> Option<LinkBody> {
+    pub fn into_body(self) -> Option<ConnectionBody> {
         Rc::into_inner(self.0).map(RefCell::into_inner)
     }
 }
--- a/crates/vaneway-server/src/core/endpoints/protocol.rs
+++ b/crates/vaneway-server/src/core/endpoints/protocol.rs
@@ -91,18 +91,18 @@
 
 /// One sending of a request.
 #[derive(Debug, Clone, Copy)]
-pub struct Sending<'a> {
+pub struct Dispatch<'a> {
     /// Where to.
-    pub to: &'a EndpointSpec,
+    pub endpoint: &'a EndpointSpec,
     /// Time that the endpoint may use.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Number of the last event that the caller has, if a stream goes on.
-    pub after: Option<u32>,
+    pub resume_after: Option<u32>,
 }
 
 /// What the head of an answer means.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ResponseKind {
     /// It begins the answer to this request.
     Answer,
     /// The endpoint did not run the request.
@@ -110,30 +110,30 @@
     /// Another endpoint has the address now; it did not run the request.
     Replaced,
     /// It is no answer to this request.
-    Foreign,
+    Mismatched,
 }
 
 /// What endpoints speak.
 pub trait EndpointProtocol: 'static {
     /// The request as the endpoint gets it.
-    fn request(&self, call: &CallRequest, sending: Sending<'_>) -> EndpointRequest;
+    fn request(&self, call: &CallRequest, dispatch: Dispatch<'_>) -> EndpointRequest;
 
     /// What the head of an answer means.
-    fn judge(&self, call: &CallRequest, head: &response::Parts) -> Verdict;
+    fn classify(&self, call: &CallRequest, head: &response::Parts) -> ResponseKind;
 
     /// Requests a second that the endpoint takes from all entry boxes together, if the head of an answer names that.
-    fn named_limit(&self, headers: &HeaderMap) -> Result<Option<Rate>, NumberError>;
+    fn advertised_limit(&self, headers: &HeaderMap) -> Result<Option<Rate>, NumberError>;
 
     /// Whether the head of an answer says that its endpoint leaves.
-    fn says_leaving(&self, headers: &HeaderMap) -> bool;
+    fn is_leaving(&self, headers: &HeaderMap) -> bool;
 
     /// Prepares the headers of an answer for the caller.
-    fn pass_headers(&self, headers: &mut HeaderMap);
+    fn prepare_headers(&self, headers: &mut HeaderMap);
 }
 
 /// Reads a limit from the header `name`. Of several the lowest counts; if one of them can't be read, none does.
-pub fn read_limit(headers: &HeaderMap, name: &HeaderName) -> Result<Option<Rate>, NumberError> {
-    Ok(read_each(headers, name, str::parse)?.into_iter().min())
+pub fn parse_limit(headers: &HeaderMap, name: &HeaderName) -> Result<Option<Rate>, NumberError> {
+    Ok(parse_each(headers, name, str::parse)?.into_iter().min())
 }
 
 /// Reads all that the headers `name` hold, each of which may hold several with commas between them.
@@ -141,7 +141,7 @@
 /// # Errors
 ///
 /// If one of them can't be read.
-pub fn read_each<T>(
+pub fn parse_each<T>(
     headers: &HeaderMap,
     name: &HeaderName,
     read: fn(&str) -> Result<T, NumberError>,
@@ -157,7 +157,7 @@
 }
 
 /// Whether the header `name` says yes: `1`.
-pub fn read_mark(headers: &HeaderMap, name: &HeaderName) -> bool {
+pub fn has_flag(headers: &HeaderMap, name: &HeaderName) -> bool {
     headers.get_all(name).iter().any(|value| value.as_bytes().trim_ascii() == b"1")
 }
 
@@ -204,35 +204,35 @@
 }
 
 impl EndpointProtocol for PlainEndpoints {
-    fn request(&self, call: &CallRequest, sending: Sending<'_>) -> EndpointRequest {
+    fn request(&self, call: &CallRequest, dispatch: Dispatch<'_>) -> EndpointRequest {
         let builder = Request::builder().method(call.method.clone()).uri(&call.path);
         copy_headers(builder, &call.headers, &[HOST, AUTHORIZATION])
-            .header(HOST, sending.to.address.to_string())
+            .header(HOST, dispatch.endpoint.address.to_string())
             .header("x-request-id", &call.id)
             .header("x-organisation", &call.organisation)
             .body(Full::new(call.body.clone()))
             .expect("the parts of the request are valid")
     }
 
-    fn judge(&self, _call: &CallRequest, head: &response::Parts) -> Verdict {
+    fn classify(&self, _call: &CallRequest, head: &response::Parts) -> ResponseKind {
         let not_run = self.not_run_header.as_ref();
         let not_run = not_run.is_some_and(|name| head.headers.contains_key(name));
         if head.status == StatusCode::SERVICE_UNAVAILABLE && not_run {
-            Verdict::Refused
+            ResponseKind::Refused
         } else {
-            Verdict::Answer
+            ResponseKind::Answer
         }
     }
 
-    fn named_limit(&self, headers: &HeaderMap) -> Result<Option<Rate>, NumberError> {
-        read_limit(headers, &LIMIT_HEADER)
+    fn advertised_limit(&self, headers: &HeaderMap) -> Result<Option<Rate>, NumberError> {
+        parse_limit(headers, &LIMIT_HEADER)
     }
 
-    fn says_leaving(&self, headers: &HeaderMap) -> bool {
-        read_mark(headers, &LEAVING_HEADER)
+    fn is_leaving(&self, headers: &HeaderMap) -> bool {
+        has_flag(headers, &LEAVING_HEADER)
     }
 
-    fn pass_headers(&self, headers: &mut HeaderMap) {
+    fn prepare_headers(&self, headers: &mut HeaderMap) {
         remove_hop_headers(headers);
         headers.insert(RUN_HEADER, HeaderValue::from_static(RunState::Ran.name()));
     }
--- a/crates/vaneway-server/src/core/endpoints/registered.rs
+++ b/crates/vaneway-server/src/core/endpoints/registered.rs
@@ -67,7 +67,7 @@
 
 /// Uses endpoints that were ready before all boxes went down, unless this box has heard of any
 /// since; those that are not heard of within `left` are used no more.
-pub fn remember(entry: &Rc<Entry>, reports: &[Report], left: Duration) {
+pub fn add_remembered(entry: &Rc<Entry>, reports: &[Report], left: Duration) {
     if entry.uptime() > STARTED_WITHIN {
         return;
     }
@@ -132,7 +132,7 @@
 /// from their own answers, or from its registration.
 ///
 /// One that the settings name rests instead: it starts again as the same endpoint, without anyone saying so.
-pub fn says_leaving(entry: &Entry, endpoint: EndpointId, request: &str) {
+pub fn mark_leaving(entry: &Entry, endpoint: EndpointId, request: &str) {
     let (name, state) = {
         let pool = entry.pool.borrow();
         let endpoint = pool.get(endpoint);
@@ -145,7 +145,7 @@
     if entry.registered.borrow().values().any(|registered| *registered == endpoint) {
         entry.update_pool(|pool, now, out| pool.notice(now, endpoint, now + FINISH_WITHIN, out));
     } else {
-        entry.pool.borrow_mut().rest(endpoint, clock::now() + ASK_AGAIN_AFTER);
+        entry.pool.borrow_mut().back_off(endpoint, clock::now() + ASK_AGAIN_AFTER);
     }
 }
 
--- a/crates/vaneway-server/src/core/endpoints/upstream.rs
+++ b/crates/vaneway-server/src/core/endpoints/upstream.rs
@@ -1,6 +1,6 @@
 //! Connections to endpoints and attempts over them.
 //!
-//! Why: what may be told to a caller depends on exactly how far an attempt got. [`Connections`]
+//! Why: what may be told to a caller depends on exactly how far an attempt got. [`ConnectionPool`]
 //! keeps idle connections for each endpoint and reports every failure as an
 //! [`Outcome`]: hyper hands a request back if it never reached the
 //! connection, which is the only case besides a failed connect that counts as not sent.
@@ -30,9 +30,9 @@
 use vaneway_relay::AttemptEvent;
 use vaneway_relay::Outcome;
 
+use crate::core::endpoints::link::Connection;
+use crate::core::endpoints::link::ConnectionBody;
 use crate::core::endpoints::link::EndpointRequest;
-use crate::core::endpoints::link::Link;
-use crate::core::endpoints::link::LinkBody;
 use crate::core::endpoints::link::SharedBody;
 use crate::core::endpoints::protocol;
 use crate::core::endpoints::protocol::LEAVING_HEADER;
@@ -80,31 +80,31 @@
 
 /// An answer that has begun.
 #[derive(Debug)]
-pub struct Answered {
-    /// The answer. Once its body was read to the end, [`Connections::put`] takes the connection
+pub struct StartedResponse {
+    /// The answer. Once its body was read to the end, [`ConnectionPool::release`] takes the connection
     /// back.
-    pub response: Response<LinkBody>,
+    pub response: Response<ConnectionBody>,
     /// Where the attempt stands.
     pub attempt: Attempt,
 }
 
 /// Idle connections by address.
 #[derive(Debug, Default)]
-pub struct Connections {
-    idle: RefCell<BTreeMap<SocketAddr, Vec<Link>>>,
+pub struct ConnectionPool {
+    idle: RefCell<BTreeMap<SocketAddr, Vec<Connection>>>,
     reset_on_close: bool,
 }
 
-impl Connections {
+impl ConnectionPool {
     /// Connections that are reset when they are closed, so that what was written and has not
     /// arrived, for example because the network is cut, never will.
     pub fn reset_on_close() -> Self {
         Self { idle: RefCell::default(), reset_on_close: true }
     }
 
-    /// Sends `req` to `addr` and waits for the head of the answer until `head_by`.
+    /// Sends `req` to `addr` and waits for the head of the answer until `head_deadline`.
     ///
-    /// With `fresh`, no idle connection is used: the endpoint may be closing it at this moment,
+    /// With `new_connection`, no idle connection is used: the endpoint may be closing it at this moment,
     /// which would leave the outcome of a call that may not be repeated unknown for no good
     /// reason.
     ///
@@ -116,31 +116,31 @@
         timers: &Timers,
         addr: SocketAddr,
         req: EndpointRequest,
-        fresh: bool,
-        head_by: Instant,
-    ) -> Result<Answered, SendError> {
+        new_connection: bool,
+        head_deadline: Instant,
+    ) -> Result<StartedResponse, SendError> {
         let mut req = req;
-        let mut fresh = fresh;
+        let mut new_connection = new_connection;
         loop {
             let mut attempt = Attempt::new();
-            let idle = if fresh { None } else { self.take(addr) };
+            let idle = if new_connection { None } else { self.take(addr) };
             let reused = idle.is_some();
             let link = match idle {
                 Some(link) => link,
                 None => self.open(timers, addr, &mut attempt).await?,
             };
             attempt.handle(AttemptEvent::Written);
-            let sent = timers.timeout_at(head_by, link.send(req)).await;
+            let sent = timers.timeout_at(head_deadline, link.send(req)).await;
             match sent {
                 Some(Ok(response)) => {
                     attempt.handle(AttemptEvent::Head);
-                    return Ok(Answered { response, attempt });
+                    return Ok(StartedResponse { response, attempt });
                 }
                 Some(Err(mut error)) => match error.take_message() {
                     // The endpoint closed an idle connection: try once more on a new one.
                     Some(returned) if reused => {
                         req = returned;
-                        fresh = true;
+                        new_connection = true;
                     }
                     returned => {
                         let event = match returned {
@@ -176,11 +176,11 @@
         Ok((head.status, body))
     }
 
-    /// Like [`Connections::exchange`], with the whole head of the answer.
+    /// Like [`ConnectionPool::exchange`], with the whole head of the answer.
     ///
     /// # Errors
     ///
-    /// As [`Connections::exchange`].
+    /// As [`ConnectionPool::exchange`].
     pub async fn exchange_head(
         &self,
         timers: &Timers,
@@ -189,12 +189,13 @@
         limit: usize,
         until: Instant,
     ) -> Result<(response::Parts, Bytes), SendError> {
-        let Answered { response, mut attempt } = self.send(timers, addr, req, false, until).await?;
+        let StartedResponse { response, mut attempt } =
+            self.send(timers, addr, req, false, until).await?;
         let (head, mut body) = response.into_parts();
         let mut held = BytesMut::new();
         let cause = match timers.timeout_at(until, body.read_into(&mut held, limit)).await {
             Some(Ok(true)) => {
-                self.put(addr, body);
+                self.release(addr, body);
                 return Ok((head, held.freeze()));
             }
             Some(Ok(false)) => "the answer is too long".to_owned(),
@@ -209,7 +210,7 @@
         timers: &Timers,
         addr: SocketAddr,
         attempt: &mut Attempt,
-    ) -> Result<Link, SendError> {
+    ) -> Result<Connection, SendError> {
         let stream = socket::connect_timeout(timers, addr, CONNECT_WITHIN).await;
         let stream = stream.map_err(|error| {
             let is_down = error.kind() == ErrorKind::ConnectionRefused;
@@ -223,10 +224,12 @@
         {
             return Err(ended(attempt, AttemptEvent::Returned, error));
         }
-        Link::open(stream).await.map_err(|error| ended(attempt, AttemptEvent::Returned, error))
+        Connection::open(stream)
+            .await
+            .map_err(|error| ended(attempt, AttemptEvent::Returned, error))
     }
 
-    fn take(&self, addr: SocketAddr) -> Option<Link> {
+    fn take(&self, addr: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let links = idle.get_mut(&addr)?;
         while let Some(mut link) = links.pop() {
@@ -238,8 +241,8 @@
     }
 
     /// Takes a connection back after its answer was read to the end.
-    pub fn put(&self, addr: SocketAddr, body: LinkBody) {
-        let link = body.into_link();
+    pub fn release(&self, addr: SocketAddr, body: ConnectionBody) {
+        let link = body.into_connection();
         let mut idle = self.idle.borrow_mut();
         let links = idle.entry(addr).or_default();
         if links.len() < IDLE_MOST {
@@ -248,12 +251,17 @@
     }
 
     /// Takes a connection back after a refusal, if its body ends soon.
-    pub async fn put_refused(&self, timers: &Timers, addr: SocketAddr, mut body: LinkBody) {
+    pub async fn release_refused(
+        &self,
+        timers: &Timers,
+        addr: SocketAddr,
+        mut body: ConnectionBody,
+    ) {
         let mut held = BytesMut::new();
         let read = body.read_into(&mut held, ERROR_BYTES_MOST);
         let read = timers.timeout_at(clock::now() + END_WITHIN, read).await;
         if matches!(read, Some(Ok(true))) {
-            self.put(addr, body);
+            self.release(addr, body);
         }
     }
 
@@ -263,7 +271,7 @@
     }
 
     /// Closes the idle connections to an endpoint that is gone.
-    pub fn forget(&self, addr: SocketAddr) {
+    pub fn close_idle(&self, addr: SocketAddr) {
         self.idle.borrow_mut().remove(&addr);
     }
 }
@@ -275,7 +283,7 @@
 
 /// What an attempt at a model engine brings.
 #[derive(Debug)]
-pub enum Item {
+pub enum AttemptItem {
     /// The engine accepted the request.
     Head {
         /// Requests a second that it takes from all entry boxes together, if it names that.
@@ -327,11 +335,11 @@
     /// The request.
     pub req: EndpointRequest,
     /// Whether to open a new connection.
-    pub fresh: bool,
+    pub new_connection: bool,
     /// Longest silence before the attempt counts as broken.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
     /// When the first sign of an answer must be there.
-    pub head_by: Instant,
+    pub head_deadline: Instant,
 }
 
 type Events = EventStream<SharedBody>;
@@ -346,7 +354,7 @@
     connections: C,
     timers: Timers,
     addr: SocketAddr,
-    stall: Duration,
+    stall_timeout: Duration,
     body: SharedBody,
     attempt: Attempt,
     events: Events,
@@ -354,9 +362,9 @@
 
 /// One attempt at a model engine, as a stream of what it brings. Dropping it closes the
 /// connection unless the answer was read to the end.
-pub fn model_attempt<C>(attempt: ModelAttempt<C>) -> impl Stream<Item = Item>
+pub fn model_attempt<C>(attempt: ModelAttempt<C>) -> impl Stream<Item = AttemptItem>
 where
-    C: std::ops::Deref<Target = Connections>,
+    C: std::ops::Deref<Target = ConnectionPool>,
 {
     unfold(Stage::Sending(Box::new(attempt)), |stage| async move {
         match stage {
@@ -368,33 +376,41 @@
     })
 }
 
-async fn start<C>(attempt: ModelAttempt<C>) -> (Item, Stage<C>)
+async fn start<C>(attempt: ModelAttempt<C>) -> (AttemptItem, Stage<C>)
 where
-    C: std::ops::Deref<Target = Connections>,
+    C: std::ops::Deref<Target = ConnectionPool>,
 {
-    let ModelAttempt { connections, timers, addr, req, fresh, stall, head_by } = attempt;
-    let sent = connections.send(&timers, addr, req, fresh, head_by).await;
+    let ModelAttempt {
+        connections,
+        timers,
+        addr,
+        req,
+        new_connection,
+        stall_timeout,
+        head_deadline,
+    } = attempt;
+    let sent = connections.send(&timers, addr, req, new_connection, head_deadline).await;
     let answered = match sent {
         Ok(answered) => answered,
         Err(SendError { outcome, cause, .. }) => {
-            return (Item::Ended { outcome, cause }, Stage::Over);
+            return (AttemptItem::Ended { outcome, cause }, Stage::Over);
         }
     };
-    let Answered { response, mut attempt } = answered;
+    let StartedResponse { response, mut attempt } = answered;
     let status = response.status();
-    let limit = protocol::read_limit(response.headers(), &LIMIT_HEADER);
-    let leaving = protocol::read_mark(response.headers(), &LEAVING_HEADER);
+    let limit = protocol::parse_limit(response.headers(), &LIMIT_HEADER);
+    let leaving = protocol::has_flag(response.headers(), &LEAVING_HEADER);
     let (head, mut body) = response.into_parts();
     if status == StatusCode::OK {
         let body = SharedBody::new(body);
         let events = body.clone().eventsource();
-        let reading = Reading { connections, timers, addr, stall, body, attempt, events };
-        return (Item::Head { limit, leaving }, Stage::Reading(Box::new(reading)));
+        let reading = Reading { connections, timers, addr, stall_timeout, body, attempt, events };
+        return (AttemptItem::Head { limit, leaving }, Stage::Reading(Box::new(reading)));
     }
     let mut held = BytesMut::new();
     let read = body.read_into(&mut held, ERROR_BYTES_MOST);
-    if let Some(Ok(true)) = timers.timeout_at(clock::now() + stall, read).await {
-        connections.put(addr, body);
+    if let Some(Ok(true)) = timers.timeout_at(clock::now() + stall_timeout, read).await {
+        connections.release(addr, body);
     }
     (engine_error(&mut attempt, head, held.freeze()), Stage::Over)
 }
@@ -402,32 +418,32 @@
 /// What an engine's error means, by the engine protocol of docs/INTERFACES.md: overload, a lost
 /// state and a stopping engine are refusals; a fault in the engine leaves the outcome unknown;
 /// everything else is an answer to the request itself.
-fn engine_error(attempt: &mut Attempt, head: response::Parts, body: Bytes) -> Item {
+fn engine_error(attempt: &mut Attempt, head: response::Parts, body: Bytes) -> AttemptItem {
     let response::Parts { status, headers, .. } = head;
     let cause = format!("the engine answered {}", status.as_u16());
     match status {
         StatusCode::CONFLICT | StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-            Item::Refused { status, headers, cause }
+            AttemptItem::Refused { status, headers, cause }
         }
-        _ if status.is_client_error() => Item::Rejected { status, body },
+        _ if status.is_client_error() => AttemptItem::Rejected { status, body },
         _ => {
             let SendError { outcome, cause, .. } = ended(attempt, AttemptEvent::Broken, cause);
-            Item::Ended { outcome, cause }
+            AttemptItem::Ended { outcome, cause }
         }
     }
 }
 
-async fn next_event<C>(mut reading: Box<Reading<C>>) -> (Item, Stage<C>)
+async fn next_event<C>(mut reading: Box<Reading<C>>) -> (AttemptItem, Stage<C>)
 where
-    C: std::ops::Deref<Target = Connections>,
+    C: std::ops::Deref<Target = ConnectionPool>,
 {
-    let until = clock::now() + reading.stall;
+    let until = clock::now() + reading.stall_timeout;
     let broken = match reading.timers.timeout_at(until, reading.events.next()).await {
         Some(Some(Ok(event))) if event.data == "[DONE]" => {
             return (finish(*reading).await, Stage::Over);
         }
         Some(Some(Ok(event))) => {
-            let item = Item::Data { id: event.id, data: event.data };
+            let item = AttemptItem::Data { id: event.id, data: event.data };
             return (item, Stage::Reading(reading));
         }
         Some(Some(Err(error))) => error.to_string(),
@@ -436,13 +452,13 @@
     };
     let SendError { outcome, cause, .. } =
         ended(&mut reading.attempt, AttemptEvent::Broken, broken);
-    (Item::Ended { outcome, cause }, Stage::Over)
+    (AttemptItem::Ended { outcome, cause }, Stage::Over)
 }
 
 /// Ends an attempt whose last event arrived. The connection is kept only if the body ends there.
-async fn finish<C>(reading: Reading<C>) -> Item
+async fn finish<C>(reading: Reading<C>) -> AttemptItem
 where
-    C: std::ops::Deref<Target = Connections>,
+    C: std::ops::Deref<Target = ConnectionPool>,
 {
     let Reading { connections, timers, addr, body, mut attempt, mut events, .. } = reading;
     let outcome = attempt.handle(AttemptEvent::End).unwrap_or(Outcome::Done);
@@ -450,7 +466,7 @@
     let ended = timers.timeout_at(soon, events.next()).await;
     drop(events);
     if let (Some(None), Some(body)) = (ended, body.into_body()) {
-        connections.put(addr, body);
+        connections.release(addr, body);
     }
-    Item::Ended { outcome, cause: String::new() }
+    AttemptItem::Ended { outcome, cause: String::new() }
 }
--- a/crates/vaneway-server/src/core/entry.rs
+++ b/crates/vaneway-server/src/core/entry.rs
@@ -14,7 +14,7 @@
 use serde_json::Value;
 use serde_json::json;
 use vaneway_limit::BoxNumber;
-use vaneway_limit::NamedLimits;
+use vaneway_limit::EndpointLimits;
 use vaneway_limit::Sender;
 use vaneway_marks::Instance;
 use vaneway_quarantine::Quarantine;
@@ -38,7 +38,7 @@
 use crate::core::configuration::Configuration;
 use crate::core::configuration::Version;
 use crate::core::configuration_change::ConfigurationChange;
-use crate::core::endpoints::upstream::Connections;
+use crate::core::endpoints::upstream::ConnectionPool;
 use crate::core::metrics::Metrics;
 use crate::core::occupancy::Occupancy;
 use crate::core::queue_limit::Inflow;
@@ -93,7 +93,7 @@
     /// The retry budget of each service.
     pub budgets: RefCell<Vec<RetryBudget>>,
     /// Connections to endpoints.
-    pub connections: Connections,
+    pub connections: ConnectionPool,
     /// The timer service.
     pub timers: Timers,
     /// Requests that are open.
@@ -113,7 +113,7 @@
     /// Requests under which endpoints ended.
     pub quarantine: RefCell<Quarantine>,
     /// Limits that endpoints name in their answers.
-    pub limits: RefCell<NamedLimits>,
+    pub limits: RefCell<EndpointLimits>,
     /// Which of the boxes that share these limits this box is, once it knows.
     pub box_number: Cell<Option<BoxNumber>>,
     /// What the requests of this box counted, for the control boxes.
@@ -186,7 +186,7 @@
             pool: RefCell::new(pool),
             boxes,
             budgets: RefCell::new(settings.services.iter().map(budget).collect()),
-            connections: Connections::default(),
+            connections: ConnectionPool::default(),
             timers,
             open: OpenRequests::default(),
             claims,
@@ -254,7 +254,7 @@
         let query = Query { home, sender: self.sender(), ..query };
         match self.pool.borrow_mut().choose(clock::now(), query) {
             Choice::Endpoint(endpoint) => Event::Chosen { endpoint },
-            Choice::Full | Choice::Limited | Choice::Late => {
+            Choice::Full | Choice::Limited | Choice::QueuesTooLong => {
                 Event::Unavailable { full: true, until: None }
             }
             Choice::Unavailable { until } => Event::Unavailable { full: false, until },
@@ -373,7 +373,7 @@
         tokens: u64,
         work: Option<&Work>,
     ) -> Occupancy {
-        let tokens = self.pool.borrow_mut().begin(clock::now(), endpoint, tokens, work);
+        let tokens = self.pool.borrow_mut().begin_attempt(clock::now(), endpoint, tokens, work);
         Occupancy::new(Rc::clone(self), endpoint, tokens)
     }
 
@@ -409,7 +409,7 @@
     pub fn mark(&self, instance: &Instance, gone_at: Instant) {
         for endpoint in self.endpoints_on(&instance.box_name) {
             self.update_pool(|pool, now, out| {
-                if pool.listed(now, *endpoint, &instance.instance, out) {
+                if pool.set_instance(now, *endpoint, &instance.instance, out) {
                     pool.notice(now, *endpoint, gone_at, out);
                 }
             });
@@ -425,7 +425,7 @@
             }
             Effect::AbandonWork { endpoint } => {
                 self.log_endpoint("endpoint_gone", endpoint);
-                self.connections.forget(self.address(endpoint));
+                self.connections.close_idle(self.address(endpoint));
                 self.open.send_to_all(&Event::Gone { endpoint });
             }
         }
@@ -458,15 +458,15 @@
                     "gone_in_ms": endpoint.gone_at.map(|at| {
                         at.saturating_duration_since(now).as_millis() as u64
                     }),
-                    "rests_ms": endpoint.rests_until.map(|until| {
+                    "rests_ms": endpoint.backoff_until.map(|until| {
                         until.saturating_duration_since(now).as_millis() as u64
                     }),
                     "failures": endpoint.failures,
                     "open": endpoint.open,
                     "open_tokens": endpoint.open_tokens,
-                    "open_elsewhere": endpoint.others,
-                    "kept_parts": endpoint.parts.len(),
-                    "limit_a_second": endpoint.gate.named().filter(|named| !named.ended)
+                    "open_elsewhere": endpoint.others_load,
+                    "kept_parts": endpoint.cached_parts.len(),
+                    "limit_a_second": endpoint.gate.limit().filter(|named| !named.lifted)
                         .map(|named| named.rate.per_second()),
                 })
             })
--- a/crates/vaneway-server/src/core/limits.rs
+++ b/crates/vaneway-server/src/core/limits.rs
@@ -3,7 +3,7 @@
 //! Data flow: the head of each answer says what its endpoint takes ([`observe_response`]); what is news goes to the control boxes and
 //! from them to the other entry boxes ([`merge`]). The pool's gates decide by it, each time that an endpoint is chosen.
 
-use vaneway_limit::NamedLimit;
+use vaneway_limit::EndpointLimit;
 use vaneway_limit::NumberError;
 use vaneway_limit::Rate;
 use vaneway_registry::Lifecycle;
@@ -46,9 +46,9 @@
     };
     let Some(born) = incarnation(entry, &name, endpoint) else { return };
     let now = entry.cluster_time();
-    let news = entry.limits.borrow_mut().answered(now, &name, born, rate);
+    let news = entry.limits.borrow_mut().record_response(now, &name, born, rate);
     let Some(named) = news else { return };
-    entry.pool.borrow_mut().limit(endpoint, named);
+    entry.pool.borrow_mut().set_limit(endpoint, named);
     let change = if rate.is_some() { "named" } else { "ended" };
     entry.metrics.limits.with_label_values(&[service, change]).inc();
     Line::new("endpoint_limit")
@@ -60,17 +60,17 @@
 }
 
 /// Learns what endpoints named in answers to other boxes.
-pub fn merge(entry: &Entry, told: &[NamedLimit]) {
+pub fn merge(entry: &Entry, told: &[EndpointLimit]) {
     let now = entry.cluster_time();
     let news = entry.limits.borrow_mut().merge(now, told);
-    for NamedLimit { endpoint, named } in news {
+    for EndpointLimit { endpoint, limit } in news {
         apply(entry, &endpoint);
         Line::new("endpoint_limit_told")
             .with("replica", endpoint)
-            .with("born", named.born)
-            .with("a_second", named.rate)
-            .with("ended", named.ended)
-            .with("age_ms", now.saturating_sub(named.at).as_millis())
+            .with("born", limit.born)
+            .with("a_second", limit.rate)
+            .with("ended", limit.lifted)
+            .with("age_ms", now.saturating_sub(limit.seen_at).as_millis())
             .info();
     }
 }
@@ -80,17 +80,17 @@
     let Some(endpoint) = entry.registered.borrow().get(name).copied() else { return };
     let named = entry.limits.borrow().get(name).copied();
     let born = entry.registry.borrow().born(name);
-    if let Some(named) = named.filter(|named| named.is_of(born)) {
-        entry.pool.borrow_mut().limit(endpoint, named);
+    if let Some(named) = named.filter(|named| named.matches_incarnation(born)) {
+        entry.pool.borrow_mut().set_limit(endpoint, named);
     }
 }
 
 /// What this box has to tell of limits since it was last asked.
-pub fn take_news(entry: &Entry) -> Vec<NamedLimit> {
+pub fn take_updates(entry: &Entry) -> Vec<EndpointLimit> {
     let mut limits = entry.limits.borrow_mut();
     // As long as its gate goes by it: only what is known here can be ended by an answer.
-    limits.forget(entry.cluster_time(), |name, _| is_in_use(entry, name));
-    limits.take_news()
+    limits.remove_expired(entry.cluster_time(), |name, _| is_in_use(entry, name));
+    limits.take_updates()
 }
 
 fn is_in_use(entry: &Entry, name: &str) -> bool {
--- a/crates/vaneway-server/src/core/occupancy.rs
+++ b/crates/vaneway-server/src/core/occupancy.rs
@@ -26,18 +26,18 @@
 #[derive(Debug)]
 struct WatchedRun {
     service: String,
-    unread: u64,
+    uncached_tokens: u64,
     sent: Instant,
     first: Option<Instant>,
     last: Option<Instant>,
-    pauses: u32,
-    whole: bool,
+    gaps: u32,
+    completed: bool,
 }
 
 impl WatchedRun {
     fn heard(&mut self, now: Instant) {
         if self.first.is_some() {
-            self.pauses += 1;
+            self.gaps += 1;
         }
         self.first.get_or_insert(now);
         self.last = Some(now);
@@ -47,11 +47,11 @@
     fn seen(&self) -> Option<Run> {
         let (first, last) = (self.first?, self.last?);
         Some(Run {
-            unread: self.unread,
-            first_after: first - self.sent,
-            pauses: self.pauses,
-            generating: last - first,
-            whole: self.whole,
+            uncached_tokens: self.uncached_tokens,
+            time_to_first_event: first - self.sent,
+            gaps: self.gaps,
+            generation_time: last - first,
+            completed: self.completed,
         })
     }
 }
@@ -67,19 +67,19 @@
         self.entry.usage.borrow_mut().begin_run(service, prompt, self.tokens);
         self.run = Some(WatchedRun {
             service: service.to_owned(),
-            unread: self.tokens,
+            uncached_tokens: self.tokens,
             sent: clock::now(),
             first: None,
             last: None,
-            pauses: 0,
-            whole: false,
+            gaps: 0,
+            completed: false,
         });
     }
 
     /// Notes that the answer came to its end.
     pub fn mark_complete(&mut self) {
         if let Some(run) = &mut self.run {
-            run.whole = true;
+            run.completed = true;
         }
     }
 
@@ -96,9 +96,9 @@
         }
         let mut pool = self.entry.pool.borrow_mut();
         if std::mem::replace(&mut self.arriving, true) {
-            pool.heard(now, self.endpoint);
+            pool.record_progress(now, self.endpoint);
         } else {
-            pool.begun(now, self.endpoint, std::mem::take(&mut self.tokens));
+            pool.begin_response(now, self.endpoint, std::mem::take(&mut self.tokens));
         }
     }
 }
@@ -110,6 +110,6 @@
         {
             self.entry.usage.borrow_mut().observe_run(&run.service, &seen);
         }
-        self.entry.pool.borrow_mut().end(self.endpoint, self.tokens, self.arriving);
+        self.entry.pool.borrow_mut().end_attempt(self.endpoint, self.tokens, self.arriving);
     }
 }
--- a/crates/vaneway-server/src/core/quarantine.rs
+++ b/crates/vaneway-server/src/core/quarantine.rs
@@ -118,7 +118,7 @@
     }
     let now = entry.cluster_time();
     entry.quarantine.borrow_mut().record_exit(now, ended);
-    entry.update_pool(|pool, now, out| pool.ended(now, endpoint, out));
+    entry.update_pool(|pool, now, out| pool.record_exit(now, endpoint, out));
 }
 
 /// Counts that an endpoint ended under a request, the last of `ends`; the others ended under it before.
@@ -265,6 +265,6 @@
     let endpoint = entry.registered.borrow().get(ended.name()).copied();
     if let Some(endpoint) = endpoint {
         Line::new("endpoint_ended_told").with("replica", ended).info();
-        entry.update_pool(|pool, now, out| pool.ended(now, endpoint, out));
+        entry.update_pool(|pool, now, out| pool.record_exit(now, endpoint, out));
     }
 }
--- a/crates/vaneway-server/src/core/queue_limit.rs
+++ b/crates/vaneway-server/src/core/queue_limit.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use vaneway_route::Fading;
-use vaneway_route::Pace;
+use vaneway_route::DecayingSum;
+use vaneway_route::QueueLimit;
 use vaneway_route::ServiceId;
 use vaneway_route::Work;
 
@@ -32,7 +32,7 @@
 
 /// Prompt tokens that callers ask to be read, by service.
 #[derive(Debug, Default)]
-pub struct Inflow(RefCell<BTreeMap<ServiceId, Fading>>);
+pub struct Inflow(RefCell<BTreeMap<ServiceId, DecayingSum>>);
 
 impl Inflow {
     /// Counts a request that comes.
@@ -55,16 +55,16 @@
     service: ServiceId,
     service_name: &str,
     by: Instant,
-) -> Option<Pace> {
-    let token = entry.usage.borrow_mut().speeds(service_name).token;
-    if token <= 0.0 {
+) -> Option<QueueLimit> {
+    let seconds_per_token = entry.usage.borrow_mut().speeds(service_name).prompt_token_s;
+    if seconds_per_token <= 0.0 {
         return None;
     }
     let now = clock::now();
     let boxes = f64::from(entry.quotas.known_entry_boxes().max(1));
-    Some(Pace {
-        token,
-        within: by.saturating_duration_since(now).mul_f64(MAX_QUEUE_SHARE),
-        unheard: entry.inflow.rate(now, service) * boxes * NEWS_AGE.as_secs_f64(),
+    Some(QueueLimit {
+        seconds_per_token,
+        max_wait: by.saturating_duration_since(now).mul_f64(MAX_QUEUE_SHARE),
+        unreported_tokens: entry.inflow.rate(now, service) * boxes * NEWS_AGE.as_secs_f64(),
     })
 }
--- a/crates/vaneway-server/src/core/retry_after.rs
+++ b/crates/vaneway-server/src/core/retry_after.rs
@@ -12,10 +12,10 @@
 use hyper::header::HeaderMap;
 use hyper::header::RETRY_AFTER;
 use vaneway_limit::NumberError;
-use vaneway_limit::read_number;
+use vaneway_limit::parse_number;
 use vaneway_route::EndpointId;
 
-use crate::core::endpoints::protocol::read_each;
+use crate::core::endpoints::protocol::parse_each;
 use crate::core::entry::Entry;
 use crate::util::clock;
 use crate::util::logline::Line;
@@ -30,12 +30,12 @@
 ///
 /// If one of them is no number of seconds. A date is none: it would need clocks that agree.
 pub fn read_retry_after(headers: &HeaderMap) -> Result<Option<Duration>, NumberError> {
-    let longest = read_each(headers, &RETRY_AFTER, read_seconds)?.into_iter().max();
+    let longest = parse_each(headers, &RETRY_AFTER, read_seconds)?.into_iter().max();
     Ok(longest.filter(|rest| !rest.is_zero()))
 }
 
 fn read_seconds(text: &str) -> Result<Duration, NumberError> {
-    Ok(Duration::from_secs_f64(read_number(text)?.min(MAX_BACKOFF.as_secs_f64())))
+    Ok(Duration::from_secs_f64(parse_number(text)?.min(MAX_BACKOFF.as_secs_f64())))
 }
 
 /// An endpoint's refusal of a request.
@@ -61,7 +61,7 @@
     match read_retry_after(refusal.headers) {
         Ok(None) => {}
         Ok(Some(rest)) => {
-            entry.pool.borrow_mut().rest(refusal.endpoint, clock::now() + rest);
+            entry.pool.borrow_mut().back_off(refusal.endpoint, clock::now() + rest);
             count(entry, refusal, "asked");
             line(entry, "endpoint_asks_rest", refusal).with("rest_ms", rest.as_millis()).info();
         }
--- a/crates/vaneway-server/src/core/usage.rs
+++ b/crates/vaneway-server/src/core/usage.rs
@@ -249,8 +249,8 @@
         let seconds = DEMAND_SLOTS as f64 * vaneway_quota::SLOT.as_secs_f64();
         Rates {
             runs: sum.runs as f64 / seconds,
-            prompt: sum.prompt as f64 / seconds,
-            unread: sum.unread as f64 / seconds,
+            prompt_tokens: sum.prompt_tokens as f64 / seconds,
+            uncached_tokens: sum.uncached_tokens as f64 / seconds,
         }
     }
 
--- a/crates/vaneway-server/src/ops/configuration.rs
+++ b/crates/vaneway-server/src/ops/configuration.rs
@@ -17,7 +17,7 @@
 use hyper::header::LOCATION;
 use serde_json::Value;
 
-use crate::core::endpoints::upstream::Connections;
+use crate::core::endpoints::upstream::ConnectionPool;
 use crate::ops::client::Target;
 use crate::util::clock;
 use crate::util::timers::Timers;
@@ -74,7 +74,7 @@
     body: Bytes,
 ) -> eyre::Result<(StatusCode, Bytes)> {
     let timers = Timers::spawn();
-    let connections = Connections::default();
+    let connections = ConnectionPool::default();
     let mut address = address;
     for _ in 0..HOPS_MOST {
         let req = Request::builder()
