--- a/crates/vaneway-agreement/src/event.rs
+++ b/crates/vaneway-agreement/src/event.rs
@@ -8,9 +8,9 @@
 use crate::Members;
 use crate::Message;
 use crate::NodeId;
+use crate::ProposalId;
 use crate::Snapshot;
 use crate::Term;
-use crate::Ticket;
 
 /// How a node behaves.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -18,11 +18,11 @@
     /// The node's id.
     pub id: NodeId,
     /// Time between a leader's heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Shortest silence of a leader before another is sought; the longest is twice that.
-    pub election: Duration,
+    pub election_timeout: Duration,
     /// Largest difference in speed between two clocks, in parts of a thousand.
-    pub drift_per_mille: u32,
+    pub max_drift_per_mille: u32,
     /// Seed of the timeouts' jitter.
     pub seed: u64,
 }
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Rule {
     VoteChecksLog,
-    OneVoteATerm,
+    OneVotePerTerm,
     CommitOwnTermOnly,
     PersistBeforeReply,
     AppendChecksPrevious,
@@ -42,7 +42,7 @@
 
 /// What a node has on its disk.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Durable {
+pub struct DurableState {
     /// The highest term it knows of.
     pub term: Term,
     /// Whom it voted for in that term.
@@ -55,7 +55,7 @@
     pub first_members: Members,
 }
 
-impl Durable {
+impl DurableState {
     /// The disk of a node that never ran.
     pub fn empty(first_members: Members) -> Self {
         Self { term: 0, vote: None, snapshot: None, entries: Vec::new(), first_members }
@@ -81,7 +81,7 @@
     /// The entries as a log.
     pub fn log(&self) -> Log {
         match &self.snapshot {
-            Some(snapshot) => Log::behind(snapshot, self.entries.clone()),
+            Some(snapshot) => Log::after_snapshot(snapshot, self.entries.clone()),
             None => Log::new(self.first_members.clone(), self.entries.clone()),
         }
     }
@@ -134,7 +134,7 @@
     /// The owner wants a command in the log.
     Propose {
         /// Names the proposal.
-        ticket: Ticket,
+        proposal_id: ProposalId,
         /// The command.
         command: Vec<u8>,
     },
@@ -147,9 +147,9 @@
         data: Vec<u8>,
     },
     /// The owner wants a change of the members.
-    Change {
+    ChangeMembers {
         /// Names the proposal.
-        ticket: Ticket,
+        proposal_id: ProposalId,
         /// The change.
         change: MemberChange,
     },
@@ -186,7 +186,7 @@
     /// The proposal is in the leader's log; it is done once it is committed at this place.
     Proposed {
         /// The proposal.
-        ticket: Ticket,
+        proposal_id: ProposalId,
         /// Its term.
         term: Term,
         /// Its position.
@@ -195,7 +195,7 @@
     /// The proposal was not taken and is in no log.
     Refused {
         /// The proposal.
-        ticket: Ticket,
+        proposal_id: ProposalId,
         /// Why.
         refusal: Refusal,
     },
--- a/crates/vaneway-agreement/src/lib.rs
+++ b/crates/vaneway-agreement/src/lib.rs
@@ -26,7 +26,7 @@
 
 pub use event::Action;
 pub use event::Config;
-pub use event::Durable;
+pub use event::DurableState;
 pub use event::Event;
 pub use event::MemberChange;
 pub use event::Persist;
@@ -54,4 +54,4 @@
 pub type Index = u64;
 
 /// Names a proposal, by the owner's choice.
-pub type Ticket = u64;
+pub type ProposalId = u64;
--- a/crates/vaneway-agreement/src/log.rs
+++ b/crates/vaneway-agreement/src/log.rs
@@ -20,7 +20,7 @@
 
 impl Members {
     /// Members of which all vote.
-    pub fn of(voters: impl IntoIterator<Item = NodeId>) -> Self {
+    pub fn with_voters(voters: impl IntoIterator<Item = NodeId>) -> Self {
         Self { voters: voters.into_iter().collect(), learners: BTreeSet::new() }
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// A log of the entries behind a snapshot.
-    pub fn behind(snapshot: &Snapshot, entries: Vec<Entry>) -> Self {
+    pub fn after_snapshot(snapshot: &Snapshot, entries: Vec<Entry>) -> Self {
         Self {
             base_index: snapshot.index,
             base_term: snapshot.term,
@@ -129,7 +129,7 @@
     }
 
     /// Place in `entries` of the entry at `index`, which is behind the snapshot.
-    fn place(&self, index: Index) -> usize {
+    fn position(&self, index: Index) -> usize {
         (index - self.base_index) as usize - 1
     }
 
@@ -139,21 +139,21 @@
         match index {
             index if index == self.base_index => Some(self.base_term),
             index if index < self.base_index => None,
-            index => self.entries.get(self.place(index)).map(|entry| entry.term),
+            index => self.entries.get(self.position(index)).map(|entry| entry.term),
         }
     }
 
-    /// Entries from `index` on, at most `most` of them and, behind the first, at most about
-    /// `bytes` of commands. `index` is behind the snapshot.
-    pub fn from(&self, index: Index, most: usize, bytes: usize) -> &[Entry] {
-        let begin = self.place(index.max(self.base_index + 1)).min(self.entries.len());
-        let mut left = bytes;
+    /// Entries from `index` on, at most `max_entries` of them and, behind the first, at most about
+    /// `max_bytes` of commands. `index` is behind the snapshot.
+    pub fn batch_from(&self, index: Index, max_entries: usize, max_bytes: usize) -> &[Entry] {
+        let begin = self.position(index.max(self.base_index + 1)).min(self.entries.len());
+        let mut left = max_bytes;
         let rest = &self.entries[begin..];
         let fits = |entry: &&Entry| {
             left = left.saturating_sub(entry.payload.command_bytes());
             left > 0
         };
-        let count = rest.iter().take(most).take_while(fits).count();
+        let count = rest.iter().take(max_entries).take_while(fits).count();
         &rest[..count.max(1).min(rest.len())]
     }
 
@@ -183,17 +183,17 @@
         } else {
             Vec::new()
         };
-        *self = Self::behind(snapshot, entries);
+        *self = Self::after_snapshot(snapshot, entries);
     }
 
     /// The members as of the entry at `index`.
     fn members_at(&self, index: Index) -> &Members {
         let earlier = self.entries.iter().rev().filter(|entry| entry.index <= index);
-        let mut named = earlier.filter_map(|entry| match &entry.payload {
+        let mut defined = earlier.filter_map(|entry| match &entry.payload {
             Payload::Members(members) => Some(members),
             Payload::Noop | Payload::Command(_) => None,
         });
-        named.next().unwrap_or(&self.base_members)
+        defined.next().unwrap_or(&self.base_members)
     }
 
     /// Appends an entry.
@@ -211,8 +211,8 @@
                 continue;
             }
             if self.term_at(entry.index) != Some(entry.term) {
-                let kept = self.place(entry.index);
-                self.entries.truncate(kept);
+                let position = self.position(entry.index);
+                self.entries.truncate(position);
                 self.entries.extend_from_slice(&entries[i..]);
                 return entries[i..].to_vec();
             }
@@ -238,7 +238,7 @@
     }
 
     /// Whether a log that ends at (`term`, `index`) has at least what this one has.
-    pub fn is_covered_by(&self, term: Term, index: Index) -> bool {
+    pub fn is_candidate_up_to_date(&self, term: Term, index: Index) -> bool {
         (term, index) >= (self.last_term(), self.last_index())
     }
 }
--- a/crates/vaneway-agreement/src/node.rs
+++ b/crates/vaneway-agreement/src/node.rs
@@ -9,7 +9,7 @@
 //! [`Event::Persisted`] has covered it, and a leader counts its own copy of an entry from then on.
 //!
 //! Lease: an answered heartbeat proves that a quorum heard the leader after it was sent. No member
-//! of that quorum votes for another within [`Config::election`] of hearing it, so until then, less
+//! of that quorum votes for another within [`Config::election_timeout`] of hearing it, so until then, less
 //! the clocks' drift, there is no other leader.
 
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 use crate::Append;
 use crate::AppendReply;
 use crate::Config;
-use crate::Durable;
+use crate::DurableState;
 use crate::Entry;
 use crate::Event;
 use crate::Index;
@@ -38,51 +38,52 @@
 use crate::NodeId;
 use crate::Payload;
 use crate::Persist;
+use crate::ProposalId;
 use crate::Refusal;
 use crate::Role;
 use crate::Rule;
 use crate::Snapshot;
 use crate::Term;
-use crate::Ticket;
 
 /// Entries in one message at most.
-const ENTRIES_MOST: usize = 256;
+const MAX_ENTRIES_PER_MESSAGE: usize = 256;
 
 /// Bytes of commands in one message, beyond its first entry: what is not acknowledged is sent again
 /// with every heartbeat.
-const ENTRY_BYTES_MOST: usize = 256 << 10;
+const MAX_ENTRY_BYTES_PER_MESSAGE: usize = 256 << 10;
 
 /// Time before a snapshot that was not acknowledged is sent again.
-const INSTALL_AGAIN: Duration = Duration::from_secs(1);
+const SNAPSHOT_RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Entries that a learner may lack when it becomes a voter: what one message brings.
-const CAUGHT_UP_WITHIN: Index = ENTRIES_MOST as Index;
+const MAX_LEARNER_LAG: Index = MAX_ENTRIES_PER_MESSAGE as Index;
 
 /// Heartbeats whose sending time is remembered.
-const ROUNDS_MOST: usize = 64;
+const MAX_TRACKED_ROUNDS: usize = 64;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Progress {
     next: Index,
     matched: Index,
     /// When the latest answered heartbeat was sent.
-    heard: Option<Instant>,
+    last_acked_sent: Option<Instant>,
     /// When the leader first sent it something.
-    since: Instant,
+    first_sent: Instant,
     /// When a snapshot was last sent.
-    installed: Option<Instant>,
+    snapshot_sent: Option<Instant>,
 }
 
 impl Progress {
     /// Whether it lacks a snapshot, which stands for the entries up to `base` and was sent so lately that it may still arrive.
     fn awaits_snapshot(&self, now: Instant, base: Index) -> bool {
-        self.next <= base && self.installed.is_some_and(|at| now < at + INSTALL_AGAIN)
+        self.next <= base
+            && self.snapshot_sent.is_some_and(|at| now < at + SNAPSHOT_RESEND_INTERVAL)
     }
 }
 
 /// A message that waits until something is durable.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Held {
+struct DeferredMessage {
     number: u64,
     to: NodeId,
     message: Message,
@@ -93,7 +94,7 @@
 pub struct Node {
     config: Config,
     /// Always none in production.
-    without: Option<Rule>,
+    disabled_rule: Option<Rule>,
     log: Log,
     /// What stands for the entries that the log no longer has.
     snapshot: Option<Snapshot>,
@@ -102,7 +103,7 @@
     role: Role,
     leader: Option<NodeId>,
     /// When a leader was last heard, or the node started: it may have answered one just before.
-    heard: Instant,
+    last_leader_contact: Instant,
     deadline: Instant,
     votes: BTreeSet<NodeId>,
     progress: BTreeMap<NodeId, Progress>,
@@ -114,20 +115,20 @@
     /// Position up to which this node's own entries are durable.
     durable: Index,
     /// Position that each [`Persist`] makes durable.
-    persisting: VecDeque<(u64, Index)>,
-    held: VecDeque<Held>,
+    pending_persists: VecDeque<(u64, Index)>,
+    deferred: VecDeque<DeferredMessage>,
     jitter: u64,
 }
 
 impl Node {
     /// A node that starts at `now` with what is on its disk.
-    pub fn start(config: Config, durable: Durable, now: Instant) -> Self {
+    pub fn start(config: Config, durable: DurableState, now: Instant) -> Self {
         let log = durable.log();
-        let Durable { term, vote, snapshot, .. } = durable;
+        let DurableState { term, vote, snapshot, .. } = durable;
         let durable = log.last_index();
         let commit = log.base_index();
         let mut node = Self {
-            without: None,
+            disabled_rule: None,
             jitter: config.seed,
             config,
             log,
@@ -135,7 +136,7 @@
             vote,
             role: Role::Follower,
             leader: None,
-            heard: now,
+            last_leader_contact: now,
             deadline: now,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
@@ -146,23 +147,23 @@
             persist_number: 0,
             persisted_number: 0,
             durable,
-            persisting: VecDeque::new(),
-            held: VecDeque::new(),
+            pending_persists: VecDeque::new(),
+            deferred: VecDeque::new(),
         };
-        node.wait_for_leader(now);
+        node.reset_election_deadline(now);
         node
     }
 
     /// The same node with a rule off.
     #[doc(hidden)]
     #[must_use]
-    pub fn without(mut self, rule: Option<Rule>) -> Self {
-        self.without = rule;
+    pub fn with_rule_disabled(mut self, rule: Option<Rule>) -> Self {
+        self.disabled_rule = rule;
         self
     }
 
-    fn keeps(&self, rule: Rule) -> bool {
-        self.without != Some(rule)
+    fn enforces(&self, rule: Rule) -> bool {
+        self.disabled_rule != Some(rule)
     }
 
     /// The node's id.
@@ -206,11 +207,14 @@
     }
 
     /// Time since `id` last answered this leader, or since this leader first sent it something.
-    pub fn silence(&self, id: NodeId, now: Instant) -> Duration {
+    pub fn time_since_reply(&self, id: NodeId, now: Instant) -> Duration {
         if id == self.config.id {
             return Duration::ZERO;
         }
-        let since = self.progress.get(&id).map(|p| p.heard.map_or(p.since, |h| h.max(p.since)));
+        let since = self
+            .progress
+            .get(&id)
+            .map(|p| p.last_acked_sent.map_or(p.first_sent, |h| h.max(p.first_sent)));
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
@@ -225,28 +229,29 @@
             return None;
         }
         let voters = &self.log.members().voters;
-        let mut heard: Vec<Option<Instant>> = voters.iter().map(|id| self.heard_by(*id)).collect();
-        heard.sort_unstable();
+        let mut acked: Vec<Option<Instant>> =
+            voters.iter().map(|id| self.last_acked_by(*id)).collect();
+        acked.sort_unstable();
         // The latest time that more than half of the voters reach.
-        let quorum = heard.len() / 2 + 1;
-        let since = heard.len().checked_sub(quorum).and_then(|i| heard[i])?;
-        let kept = 1_000_u32.saturating_sub(2 * self.config.drift_per_mille);
-        Some(since + self.config.election * kept / 1_000)
+        let quorum = acked.len() / 2 + 1;
+        let since = acked.len().checked_sub(quorum).and_then(|i| acked[i])?;
+        let lease_per_mille = 1_000_u32.saturating_sub(2 * self.config.max_drift_per_mille);
+        Some(since + self.config.election_timeout * lease_per_mille / 1_000)
     }
 
     /// When the latest heartbeat was sent that `id` answered; this node answers its own at once.
-    fn heard_by(&self, id: NodeId) -> Option<Instant> {
+    fn last_acked_by(&self, id: NodeId) -> Option<Instant> {
         if id == self.config.id {
             return self.rounds.back().map(|(_, at)| *at);
         }
-        self.progress.get(&id).and_then(|progress| progress.heard)
+        self.progress.get(&id).and_then(|progress| progress.last_acked_sent)
     }
 
     /// Whether `id` answered lately, or has not had the time to.
-    fn is_live(&self, id: NodeId, since: Option<Instant>) -> bool {
+    fn is_responsive(&self, id: NodeId, since: Option<Instant>) -> bool {
         let Some(since) = since else { return true };
-        let begun = self.progress.get(&id).map(|progress| progress.since);
-        self.heard_by(id).max(begun).is_some_and(|heard| heard >= since)
+        let first_sent = self.progress.get(&id).map(|progress| progress.first_sent);
+        self.last_acked_by(id).max(first_sent).is_some_and(|acked| acked >= since)
     }
 
     /// Applies an event; what to do is appended to `out`.
@@ -254,15 +259,15 @@
         match event {
             Event::Tick if now >= self.deadline => self.tick(now, out),
             Event::Tick => {}
-            Event::Message { from, message } => self.message(now, from, message, out),
-            Event::Persisted { number } => self.persisted(now, number, out),
-            Event::Propose { ticket, command } => {
-                self.propose(now, ticket, Payload::Command(command), out);
+            Event::Message { from, message } => self.handle_message(now, from, message, out),
+            Event::Persisted { number } => self.handle_persisted(now, number, out),
+            Event::Propose { proposal_id, command } => {
+                self.propose(now, proposal_id, Payload::Command(command), out);
             }
             Event::Compact { index, data } => self.compact(index, data, out),
-            Event::Change { ticket, change } => match self.changed(change) {
-                Ok(members) => self.propose(now, ticket, Payload::Members(members), out),
-                Err(refusal) => out.push(Action::Refused { ticket, refusal }),
+            Event::ChangeMembers { proposal_id, change } => match self.members_after(change) {
+                Ok(members) => self.propose(now, proposal_id, Payload::Members(members), out),
+                Err(refusal) => out.push(Action::Refused { proposal_id, refusal }),
             },
         }
     }
@@ -270,25 +275,25 @@
     fn tick(&mut self, now: Instant, out: &mut Vec<Action>) {
         if self.role == Role::Leader {
             let members = self.log.members();
-            let since = now.checked_sub(self.config.election * 2);
-            if members.is_quorum(|id| self.is_live(id, since)) {
+            let since = now.checked_sub(self.config.election_timeout * 2);
+            if members.is_quorum(|id| self.is_responsive(id, since)) {
                 self.heartbeat(now, out);
             } else {
-                self.follow(now, self.term, None, out);
+                self.become_follower(now, self.term, None, out);
             }
             return;
         }
-        self.wait_for_leader(now);
+        self.reset_election_deadline(now);
         if self.log.members().voters.contains(&self.config.id) {
-            self.seek_pre_votes(now, out);
+            self.request_pre_votes(now, out);
         }
     }
 
     /// Sets the time at which this node seeks to be elected.
-    fn wait_for_leader(&mut self, now: Instant) {
+    fn reset_election_deadline(&mut self, now: Instant) {
         self.jitter = self.jitter.wrapping_add(1);
         let mut rng = Pcg64Mcg::seed_from_u64(self.jitter);
-        let shortest = self.config.election.as_micros() as u64;
+        let shortest = self.config.election_timeout.as_micros() as u64;
         let wait = rng.random_range(shortest..shortest * 2);
         self.deadline = now + Duration::from_micros(wait);
     }
@@ -302,7 +307,7 @@
         voters.filter(|id| *id != self.config.id).collect()
     }
 
-    fn seek_pre_votes(&mut self, now: Instant, out: &mut Vec<Action>) {
+    fn request_pre_votes(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.set_role(Role::PreCandidate, out);
         self.leader = None;
         self.votes = BTreeSet::from([self.config.id]);
@@ -317,12 +322,12 @@
         self.count_votes(now, out);
     }
 
-    fn seek_votes(&mut self, now: Instant, out: &mut Vec<Action>) {
+    fn start_election(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.term += 1;
         self.vote = Some(self.config.id);
         self.votes.clear();
         self.set_role(Role::Candidate, out);
-        self.wait_for_leader(now);
+        self.reset_election_deadline(now);
         let number = self.persist(Vec::new(), out);
         let message = Message::Vote {
             term: self.term,
@@ -339,13 +344,13 @@
             return;
         }
         match self.role {
-            Role::PreCandidate => self.seek_votes(now, out),
-            Role::Candidate => self.lead(now, out),
+            Role::PreCandidate => self.start_election(now, out),
+            Role::Candidate => self.become_leader(now, out),
             Role::Follower | Role::Leader => {}
         }
     }
 
-    fn lead(&mut self, now: Instant, out: &mut Vec<Action>) {
+    fn become_leader(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.set_role(Role::Leader, out);
         self.leader = Some(self.config.id);
         self.rounds.clear();
@@ -365,10 +370,10 @@
     fn heartbeat(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.round += 1;
         self.rounds.push_back((self.round, now));
-        if self.rounds.len() > ROUNDS_MOST {
+        if self.rounds.len() > MAX_TRACKED_ROUNDS {
             self.rounds.pop_front();
         }
-        self.deadline = now + self.config.heartbeat;
+        self.deadline = now + self.config.heartbeat_interval;
         let others = self.others();
         self.progress.retain(|id, _| others.contains(id));
         for to in others {
@@ -378,16 +383,21 @@
 
     fn send_entries(&mut self, now: Instant, to: NodeId, out: &mut Vec<Action>) {
         let last = self.log.last_index();
-        let fresh =
-            Progress { next: last.max(1), matched: 0, heard: None, since: now, installed: None };
+        let initial = Progress {
+            next: last.max(1),
+            matched: 0,
+            last_acked_sent: None,
+            first_sent: now,
+            snapshot_sent: None,
+        };
         let base = self.log.base_index();
-        let progress = self.progress.entry(to).or_insert(fresh);
+        let progress = self.progress.entry(to).or_insert(initial);
         let lacks_snapshot = progress.next <= base;
         if lacks_snapshot
             && !progress.awaits_snapshot(now, base)
             && let Some(snapshot) = self.snapshot.clone()
         {
-            progress.installed = Some(now);
+            progress.snapshot_sent = Some(now);
             let install = Install { term: self.term, snapshot, round: self.round };
             out.push(Action::Send { to, message: Message::Install(install) });
             return;
@@ -397,7 +407,7 @@
         let entries = if lacks_snapshot {
             Vec::new()
         } else {
-            self.log.from(next, ENTRIES_MOST, ENTRY_BYTES_MOST).to_vec()
+            self.log.batch_from(next, MAX_ENTRIES_PER_MESSAGE, MAX_ENTRY_BYTES_PER_MESSAGE).to_vec()
         };
         let message = Message::Append(Append {
             term: self.term,
@@ -415,7 +425,13 @@
         out.push(Action::RoleChanged { role, term: self.term });
     }
 
-    fn follow(&mut self, now: Instant, term: Term, leader: Option<NodeId>, out: &mut Vec<Action>) {
+    fn become_follower(
+        &mut self,
+        now: Instant,
+        term: Term,
+        leader: Option<NodeId>,
+        out: &mut Vec<Action>,
+    ) {
         if term > self.term {
             self.term = term;
             self.vote = None;
@@ -424,7 +440,7 @@
         self.leader = leader;
         if self.role != Role::Follower {
             self.set_role(Role::Follower, out);
-            self.wait_for_leader(now);
+            self.reset_election_deadline(now);
         }
     }
 
@@ -444,13 +460,13 @@
         if let Some(first) = entries.first() {
             // What is replaced is not durable any more.
             self.durable = self.durable.min(first.index - 1);
-            for persisting in &mut self.persisting {
+            for persisting in &mut self.pending_persists {
                 persisting.1 = persisting.1.min(first.index - 1);
             }
         }
-        let installed = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-        let durable = entries.last().map_or(installed, |last| last.index);
-        self.persisting.push_back((number, durable));
+        let snapshot_index = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+        let durable = entries.last().map_or(snapshot_index, |last| last.index);
+        self.pending_persists.push_back((number, durable));
         let (term, vote) = (self.term, self.vote);
         out.push(Action::Persist(Persist { number, term, vote, snapshot, entries }));
         number
@@ -458,22 +474,23 @@
 
     /// Sends a message once the request with `number` is durable.
     fn send_after(&mut self, number: u64, to: NodeId, message: Message, out: &mut Vec<Action>) {
-        if number <= self.persisted_number || !self.keeps(Rule::PersistBeforeReply) {
+        if number <= self.persisted_number || !self.enforces(Rule::PersistBeforeReply) {
             out.push(Action::Send { to, message });
         } else {
-            self.held.push_back(Held { number, to, message });
+            self.deferred.push_back(DeferredMessage { number, to, message });
         }
     }
 
-    fn persisted(&mut self, now: Instant, number: u64, out: &mut Vec<Action>) {
+    fn handle_persisted(&mut self, now: Instant, number: u64, out: &mut Vec<Action>) {
         self.persisted_number = self.persisted_number.max(number);
-        while let Some((_, index)) = self.persisting.pop_front_if(|(n, _)| *n <= number) {
+        while let Some((_, index)) = self.pending_persists.pop_front_if(|(n, _)| *n <= number) {
             self.durable = self.durable.max(index);
         }
-        while let Some(held) = self.held.pop_front_if(|held| held.number <= number) {
+        while let Some(deferred) = self.deferred.pop_front_if(|deferred| deferred.number <= number)
+        {
             // A promise of an earlier term is void.
-            if held.message.term() == self.term {
-                out.push(Action::Send { to: held.to, message: held.message });
+            if deferred.message.term() == self.term {
+                out.push(Action::Send { to: deferred.to, message: deferred.message });
             }
         }
         match self.role {
@@ -486,12 +503,18 @@
         }
     }
 
-    fn message(&mut self, now: Instant, from: NodeId, message: Message, out: &mut Vec<Action>) {
+    fn handle_message(
+        &mut self,
+        now: Instant,
+        from: NodeId,
+        message: Message,
+        out: &mut Vec<Action>,
+    ) {
         match message {
             Message::PreVote { term, last_term, last_index } => {
                 let granted = term > self.term
-                    && !self.hears_a_leader(now)
-                    && self.is_covered_by(last_term, last_index);
+                    && !self.has_recent_leader(now)
+                    && self.is_candidate_up_to_date(last_term, last_index);
                 let term = if granted { term } else { self.term };
                 let message = Message::PreVoteReply { term, granted };
                 out.push(Action::Send { to: from, message });
@@ -501,37 +524,38 @@
                     self.votes.insert(from);
                     self.count_votes(now, out);
                 } else if term > self.term {
-                    self.follow(now, term, None, out);
+                    self.become_follower(now, term, None, out);
                 }
             }
             Message::Vote { term, last_term, last_index } => {
-                self.asked_for_vote(now, from, term, (last_term, last_index), out);
+                self.handle_vote_request(now, from, term, (last_term, last_index), out);
             }
             Message::VoteReply { term, granted } => {
                 if term > self.term {
-                    self.follow(now, term, None, out);
+                    self.become_follower(now, term, None, out);
                 } else if granted && term == self.term && self.role == Role::Candidate {
                     self.votes.insert(from);
                     self.count_votes(now, out);
                 }
             }
-            Message::Append(append) => self.appended(now, from, append, out),
-            Message::AppendReply(reply) => self.append_replied(now, from, reply, out),
-            Message::Install(install) => self.installed(now, from, install, out),
+            Message::Append(append) => self.handle_append(now, from, append, out),
+            Message::AppendReply(reply) => self.handle_append_reply(now, from, reply, out),
+            Message::Install(install) => self.handle_install(now, from, install, out),
         }
     }
 
     /// Whether a leader was heard so lately that it may hold a lease.
-    fn hears_a_leader(&self, now: Instant) -> bool {
-        self.role == Role::Leader || now < self.heard + self.config.election
+    fn has_recent_leader(&self, now: Instant) -> bool {
+        self.role == Role::Leader || now < self.last_leader_contact + self.config.election_timeout
     }
 
     /// Whether a candidate's log has at least what this one has.
-    fn is_covered_by(&self, last_term: Term, last_index: Index) -> bool {
-        !self.keeps(Rule::VoteChecksLog) || self.log.is_covered_by(last_term, last_index)
+    fn is_candidate_up_to_date(&self, last_term: Term, last_index: Index) -> bool {
+        !self.enforces(Rule::VoteChecksLog)
+            || self.log.is_candidate_up_to_date(last_term, last_index)
     }
 
-    fn asked_for_vote(
+    fn handle_vote_request(
         &mut self,
         now: Instant,
         from: NodeId,
@@ -539,29 +563,30 @@
         (last_term, last_index): (Term, Index),
         out: &mut Vec<Action>,
     ) {
-        if term > self.term && self.hears_a_leader(now) {
+        if term > self.term && self.has_recent_leader(now) {
             // The lease of the leader that was heard forbids even to learn of the term.
             return;
         }
         if term > self.term {
-            self.follow(now, term, None, out);
+            self.become_follower(now, term, None, out);
         }
-        let free = self.vote.is_none_or(|vote| vote == from) || !self.keeps(Rule::OneVoteATerm);
-        let covered = self.is_covered_by(last_term, last_index);
-        let granted = term == self.term && free && covered && self.role == Role::Follower;
+        let free =
+            self.vote.is_none_or(|vote| vote == from) || !self.enforces(Rule::OneVotePerTerm);
+        let is_up_to_date = self.is_candidate_up_to_date(last_term, last_index);
+        let granted = term == self.term && free && is_up_to_date && self.role == Role::Follower;
         let mut number = self.persist_number;
         if granted && self.vote != Some(from) {
             self.vote = Some(from);
             number = self.persist(Vec::new(), out);
         }
         if granted {
-            self.wait_for_leader(now);
+            self.reset_election_deadline(now);
         }
         let message = Message::VoteReply { term: self.term, granted };
         self.send_after(number, from, message, out);
     }
 
-    fn appended(&mut self, now: Instant, from: NodeId, append: Append, out: &mut Vec<Action>) {
+    fn handle_append(&mut self, now: Instant, from: NodeId, append: Append, out: &mut Vec<Action>) {
         let Append { term, prev_index, prev_term, entries, commit, round } = append;
         if term < self.term {
             let last_index = self.log.last_index();
@@ -574,16 +599,16 @@
             self.send_after(self.persist_number, from, message, out);
             return;
         }
-        self.follow(now, term, Some(from), out);
-        self.heard = now;
-        self.wait_for_leader(now);
+        self.become_follower(now, term, Some(from), out);
+        self.last_leader_contact = now;
+        self.reset_election_deadline(now);
         let base = self.log.base_index();
         // What this node's snapshot stands for is committed, so the leader has the same.
-        let fits = prev_index < base
+        let prev_matches = prev_index < base
             || self.log.term_at(prev_index) == Some(prev_term)
-            || (!self.keeps(Rule::AppendChecksPrevious) && prev_index <= self.log.last_index());
+            || (!self.enforces(Rule::AppendChecksPrevious) && prev_index <= self.log.last_index());
         let mut matched = None;
-        if fits {
+        if prev_matches {
             let end = prev_index + entries.len() as Index;
             let new = self.log.merge(&entries);
             if !new.is_empty() {
@@ -598,15 +623,21 @@
     }
 
     /// Takes a leader's snapshot, unless this node has committed as much.
-    fn installed(&mut self, now: Instant, from: NodeId, install: Install, out: &mut Vec<Action>) {
+    fn handle_install(
+        &mut self,
+        now: Instant,
+        from: NodeId,
+        install: Install,
+        out: &mut Vec<Action>,
+    ) {
         let Install { term, snapshot, round } = install;
         let mut matched = None;
         if term >= self.term {
-            self.follow(now, term, Some(from), out);
-            self.heard = now;
-            self.wait_for_leader(now);
+            self.become_follower(now, term, Some(from), out);
+            self.last_leader_contact = now;
+            self.reset_election_deadline(now);
             matched = Some(snapshot.index);
-            if snapshot.index > self.commit || !self.keeps(Rule::InstallChecksCommit) {
+            if snapshot.index > self.commit || !self.enforces(Rule::InstallChecksCommit) {
                 self.restore(snapshot, out);
             }
         }
@@ -622,7 +653,7 @@
         // Entries that did not follow from it are gone.
         let last = self.log.last_index();
         self.durable = self.durable.min(last);
-        for persisting in &mut self.persisting {
+        for persisting in &mut self.pending_persists {
             persisting.1 = persisting.1.min(last);
         }
         self.persist_with(Some(snapshot.clone()), Vec::new(), out);
@@ -639,7 +670,7 @@
         self.persist_with(Some(snapshot), Vec::new(), out);
     }
 
-    fn append_replied(
+    fn handle_append_reply(
         &mut self,
         now: Instant,
         from: NodeId,
@@ -648,7 +679,7 @@
     ) {
         let AppendReply { term, matched, last_index, round } = reply;
         if term > self.term {
-            self.follow(now, term, None, out);
+            self.become_follower(now, term, None, out);
             return;
         }
         if self.role != Role::Leader || term < self.term {
@@ -658,7 +689,7 @@
         let (base, last) = (self.log.base_index(), self.log.last_index());
         let Some(progress) = self.progress.get_mut(&from) else { return };
         if let Some(sent) = sent {
-            progress.heard = progress.heard.max(Some(sent));
+            progress.last_acked_sent = progress.last_acked_sent.max(Some(sent));
         }
         match matched {
             Some(matched) if matched > progress.matched => {
@@ -682,7 +713,7 @@
     fn advance_commit(&mut self, now: Instant, out: &mut Vec<Action>) {
         let has = |id: NodeId, index: Index| {
             let matched = self.progress.get(&id).map_or(0, |progress| progress.matched);
-            let own = if self.keeps(Rule::PersistBeforeReply) {
+            let own = if self.enforces(Rule::PersistBeforeReply) {
                 self.durable
             } else {
                 self.log.last_index()
@@ -695,13 +726,13 @@
             index -= 1;
         }
         let own_term = self.log.term_at(index) == Some(self.term);
-        if index <= self.commit || (self.keeps(Rule::CommitOwnTermOnly) && !own_term) {
+        if index <= self.commit || (self.enforces(Rule::CommitOwnTermOnly) && !own_term) {
             return;
         }
         self.commit_to(index, out);
         if self.log.members().all().all(|id| id != self.config.id) {
             // Its own removal is committed.
-            self.follow(now, self.term, None, out);
+            self.become_follower(now, self.term, None, out);
         } else {
             // The followers learn of it at once and not with the next heartbeat.
             self.heartbeat(now, out);
@@ -716,18 +747,24 @@
         }
     }
 
-    fn propose(&mut self, now: Instant, ticket: Ticket, payload: Payload, out: &mut Vec<Action>) {
+    fn propose(
+        &mut self,
+        now: Instant,
+        proposal_id: ProposalId,
+        payload: Payload,
+        out: &mut Vec<Action>,
+    ) {
         if self.role != Role::Leader {
             let refusal = Refusal::NotLeader { leader: self.leader };
-            out.push(Action::Refused { ticket, refusal });
+            out.push(Action::Refused { proposal_id, refusal });
             return;
         }
         let index = self.append(now, payload, out);
-        out.push(Action::Proposed { ticket, term: self.term, index });
+        out.push(Action::Proposed { proposal_id, term: self.term, index });
     }
 
     /// The members after a change.
-    fn changed(&self, change: MemberChange) -> Result<Members, Refusal> {
+    fn members_after(&self, change: MemberChange) -> Result<Members, Refusal> {
         if self.role != Role::Leader {
             return Err(Refusal::NotLeader { leader: self.leader });
         }
@@ -744,7 +781,7 @@
             MemberChange::Promote(id) => {
                 let matched = self.progress.get(&id).map_or(0, |progress| progress.matched);
                 if members.learners.contains(&id)
-                    && matched + CAUGHT_UP_WITHIN < self.log.last_index()
+                    && matched + MAX_LEARNER_LAG < self.log.last_index()
                 {
                     return Err(Refusal::NotCaughtUp);
                 }
--- a/crates/vaneway-marks/src/lib.rs
+++ b/crates/vaneway-marks/src/lib.rs
@@ -31,19 +31,19 @@
 pub type PeerId = usize;
 
 /// Time between two ticks.
-pub const TICK: Duration = Duration::from_millis(200);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Peers that a new mark is pushed to; fewer boxes than that hear it from the first one.
-const PUSH_TO: usize = 8;
+const PUSH_FANOUT: usize = 8;
 
 /// Peers that get a digest at each tick.
-pub const DIGEST_TO: usize = 2;
+pub const DIGEST_FANOUT: usize = 2;
 
 /// Marks in one message: about half of the smallest datagram that every network carries.
-const MARKS_A_MESSAGE: usize = 8;
+const MAX_MARKS_PER_MESSAGE: usize = 8;
 
 /// How long a mark is kept after its box is gone: longer than the platform's list lags.
-const KEPT_AFTER: Duration = Duration::from_mins(10);
+const MARK_RETENTION: Duration = Duration::from_mins(10);
 
 /// Names one life of a box.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -132,7 +132,7 @@
 
     /// Learns of a mark that this box has applied itself, for example from the platform; true if
     /// it is news, which is pushed on.
-    pub fn learn(
+    pub fn record(
         &mut self,
         now: Instant,
         instance: &Instance,
@@ -143,7 +143,7 @@
             return false;
         }
         let mark = Mark { instance: instance.clone(), gone_in_ms: millis_until(now, gone_at) };
-        for to in self.some_peers(PUSH_TO) {
+        for to in self.random_peers(PUSH_FANOUT) {
             out.push(Action::Send { to, message: Message::Push { marks: vec![mark.clone()] } });
         }
         true
@@ -156,7 +156,7 @@
             Message::Push { marks } => {
                 for mark in marks {
                     let gone_at = now + Duration::from_millis(mark.gone_in_ms);
-                    if self.learn(now, &mark.instance, gone_at, out) {
+                    if self.record(now, &mark.instance, gone_at, out) {
                         out.push(Action::Apply { instance: mark.instance, gone_at });
                     }
                 }
@@ -177,9 +177,9 @@
 
     /// Time passes: forgets old marks and compares with a few peers.
     pub fn tick(&mut self, now: Instant, out: &mut Vec<Action>) {
-        self.known.retain(|_, gone_at| now < *gone_at + KEPT_AFTER);
+        self.known.retain(|_, gone_at| now < *gone_at + MARK_RETENTION);
         let message = Message::Digest { digest: self.digest(), answers: false };
-        for to in self.some_peers(DIGEST_TO) {
+        for to in self.random_peers(DIGEST_FANOUT) {
             out.push(Action::Send { to, message: message.clone() });
         }
     }
@@ -220,13 +220,13 @@
                 gone_in_ms: millis_until(now, *gone_at),
             })
             .collect();
-        for marks in marks.chunks(MARKS_A_MESSAGE) {
+        for marks in marks.chunks(MAX_MARKS_PER_MESSAGE) {
             out.push(Action::Send { to, message: Message::Push { marks: marks.to_vec() } });
         }
     }
 
     /// Up to `count` different peers at random.
-    fn some_peers(&mut self, count: usize) -> Vec<PeerId> {
+    fn random_peers(&mut self, count: usize) -> Vec<PeerId> {
         let mut peers: Vec<PeerId> = (0..self.peers).collect();
         let count = count.min(peers.len());
         for i in 0..count {
--- a/crates/vaneway-quota/src/demand.rs
+++ b/crates/vaneway-quota/src/demand.rs
@@ -4,7 +4,7 @@
 
 /// Time over which a demand is averaged: long enough that a few large requests of a small organisation are no
 /// flood, and short against the seconds in which a flood empties a bucket.
-const AVERAGED_OVER: Duration = Duration::from_millis(500);
+const TIME_CONSTANT: Duration = Duration::from_millis(500);
 
 /// Units asked for lately, admitted or not; older ones count less and less.
 #[derive(Debug, Clone, Copy, Default)]
@@ -22,7 +22,7 @@
 
     /// Units asked for in a second.
     pub fn rate(&self, now: Duration) -> f64 {
-        self.left(now) / AVERAGED_OVER.as_secs_f64()
+        self.left(now) / TIME_CONSTANT.as_secs_f64()
     }
 
     /// When units were last asked for.
@@ -32,6 +32,6 @@
 
     fn left(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
-        self.units * (-age / AVERAGED_OVER.as_secs_f64()).exp()
+        self.units * (-age / TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
--- a/crates/vaneway-server/src/core/cluster/follow.rs
+++ b/crates/vaneway-server/src/core/cluster/follow.rs
@@ -18,7 +18,7 @@
 use std::time::Instant;
 
 use vaneway_limit::BoxNumber;
-use vaneway_quota::SLOTS_KEPT;
+use vaneway_quota::RETAINED_SLOTS;
 use vaneway_quota::Sharers;
 use vaneway_registry::InstanceId;
 use vaneway_registry::Lifecycle;
@@ -304,7 +304,7 @@
             ToEntry::Parts(parts) => work_at_endpoints::learn_parts(&self.entry, &parts),
             ToEntry::OthersUsage { as_of, reporting: heard, known, quotas } => {
                 self.entry.share_retries(known);
-                let sharers = Sharers { heard, known };
+                let sharers = Sharers { reporting: heard, known };
                 self.entry.quotas.apply_update(self.entry.cluster_time(), as_of, sharers, &quotas);
             }
         }
@@ -432,7 +432,7 @@
     /// What this box's requests used: all that is remembered, or the latest.
     fn report(&self, all: bool) -> UsageReport {
         let (slots, windows) = if all {
-            (SLOTS_KEPT, RETAINED_WINDOWS)
+            (RETAINED_SLOTS, RETAINED_WINDOWS)
         } else {
             (SLOTS_PER_REPORT, WINDOWS_PER_REPORT)
         };
--- a/crates/vaneway-server/src/core/cluster/marks.rs
+++ b/crates/vaneway-server/src/core/cluster/marks.rs
@@ -15,7 +15,7 @@
 use vaneway_marks::Action;
 use vaneway_marks::Instance;
 use vaneway_marks::Message;
-use vaneway_marks::TICK;
+use vaneway_marks::TICK_INTERVAL;
 
 use crate::core::cluster::datagram::Envelope;
 use crate::core::cluster::datagram::seal;
@@ -45,7 +45,7 @@
 pub fn learn(entry: &Rc<Entry>, instance: &Instance, gone_at: Instant) {
     let Some(cluster) = &entry.cluster else { return };
     let mut actions = Vec::new();
-    cluster.marks.borrow_mut().learn(clock::now(), instance, gone_at, &mut actions);
+    cluster.marks.borrow_mut().record(clock::now(), instance, gone_at, &mut actions);
     let entry = Rc::clone(entry);
     compio::runtime::spawn(async move { carry_out(&entry, actions).await }).detach();
 }
@@ -60,7 +60,7 @@
         buf = datagram;
         if let Err(error) = received {
             log::warn!("event=datagram_not_received error={error:?}");
-            entry.timers.sleep(TICK).await;
+            entry.timers.sleep(TICK_INTERVAL).await;
             continue;
         }
         let Some(envelope) = unseal(&cluster.key, &buf) else {
@@ -87,7 +87,7 @@
 pub async fn compare(entry: Rc<Entry>) {
     let Some(cluster) = &entry.cluster else { return };
     loop {
-        entry.timers.sleep(TICK).await;
+        entry.timers.sleep(TICK_INTERVAL).await;
         let mut actions = Vec::new();
         cluster.marks.borrow_mut().tick(clock::now(), &mut actions);
         carry_out(&entry, actions).await;
--- a/crates/vaneway-server/src/core/control/capacity.rs
+++ b/crates/vaneway-server/src/core/control/capacity.rs
@@ -20,30 +20,30 @@
 use crate::core::configuration::CapacitySpec;
 use crate::core::configuration::ServiceSpec;
 use crate::core::control::duties;
-use crate::core::control::duties::CallEnd;
+use crate::core::control::duties::CallResult;
+use crate::core::control::entry_updates;
 use crate::core::control::protocol::CloudProtocol;
 use crate::core::control::state::Control;
-use crate::core::control::telling;
 use crate::core::report_tracker::ReportCoverage;
 use crate::core::settings::CloudSettings;
 use crate::util::clock;
 use crate::util::logline::Line;
 
 /// Silence after which a replica no longer counts as running.
-const HEARD_WITHIN: Duration = Duration::from_secs(5);
+const MAX_HEARTBEAT_AGE: Duration = Duration::from_secs(5);
 
 /// Time after the start of a control box before it knows all replicas by their heartbeats.
-const KNOWS_AFTER: Duration = Duration::from_secs(3);
+const REGISTRY_WARM_UP: Duration = Duration::from_secs(3);
 
 /// Time for which work must have been seen before the demand is acted on: a little more than what the
 /// rates are measured over, since a box that has just become the leader has not heard all of it.
-const SETTLED_AFTER: Duration = Duration::from_secs(5);
+const MIN_OBSERVATION_TIME: Duration = Duration::from_secs(5);
 
 /// The demand for a service, and what it was seen by.
 #[derive(Debug, Clone, Copy)]
-struct SeenDemand {
+struct ObservedDemand {
     demand: Demand,
-    news: ReportCoverage,
+    coverage: ReportCoverage,
 }
 
 /// The planners of the services for which replicas may be ordered.
@@ -51,29 +51,31 @@
 pub struct Orders {
     planners: BTreeMap<String, Planner>,
     /// When work for a service was first seen here.
-    seen_since: BTreeMap<String, Instant>,
+    observed_since: BTreeMap<String, Instant>,
     /// The work for a service when all entry boxes were last heard.
     rates: BTreeMap<String, Rates>,
 }
 
 impl Orders {
     /// Gives the orders that are due.
-    pub async fn give<C: CloudProtocol>(
+    pub async fn place_due<C: CloudProtocol>(
         &mut self,
         control: &Control,
         cloud: &CloudSettings,
         protocol: &C,
     ) {
-        let Some(held) = control.machine.borrow().held().cloned() else { return };
-        if clock::elapsed(control.started) < KNOWS_AFTER {
+        let Some(current) = control.machine.borrow().current_configuration().cloned() else {
+            return;
+        };
+        if clock::elapsed(control.started) < REGISTRY_WARM_UP {
             return;
         }
-        let configuration = &held.configuration;
+        let configuration = &current.configuration;
         for service in &configuration.services {
             let Some(spec) = &service.capacity else { continue };
-            let (input, seen) = self.input(control, service, spec);
+            let (input, observed) = self.input(control, service, spec);
             let planner = self.planner(control, service);
-            learn_least(planner, seen);
+            record_lower_bound(planner, observed);
             for order in planner.plan(clock::now(), &input) {
                 if !duties::holds_duty(control) {
                     return;
@@ -86,7 +88,7 @@
                     .with("count", order.count)
                     .with("limited", format!("{:.2}", input.lost_to_limits))
                     .with("answer", format!("{answer:?}"));
-                with_demand(line, seen, control).info();
+                with_demand(line, observed, control).info();
                 planner.record_answer(clock::now(), &order, answer);
             }
         }
@@ -98,15 +100,17 @@
     /// fleet that it finds for what the load needs. One that did would order a third of it until it knows the
     /// demand, for five seconds in which hardly a request is in time.
     pub fn watch(&mut self, control: &Control) {
-        let Some(held) = control.machine.borrow().held().cloned() else { return };
-        if clock::elapsed(control.started) < KNOWS_AFTER {
+        let Some(current) = control.machine.borrow().current_configuration().cloned() else {
+            return;
+        };
+        if clock::elapsed(control.started) < REGISTRY_WARM_UP {
             return;
         }
-        for service in &held.configuration.services {
+        for service in &current.configuration.services {
             let Some(spec) = &service.capacity else { continue };
-            let (input, seen) = self.input(control, service, spec);
+            let (input, observed) = self.input(control, service, spec);
             let planner = self.planner(control, service);
-            learn_least(planner, seen);
+            record_lower_bound(planner, observed);
             planner.observe(clock::now(), &input);
         }
     }
@@ -122,16 +126,17 @@
         control: &Control,
         service: &ServiceSpec,
         spec: &CapacitySpec,
-    ) -> (Input, Option<SeenDemand>) {
+    ) -> (Input, Option<ObservedDemand>) {
         let mut input = input(control, &service.name, spec);
-        let seen = self.demand(control, service, input.running.values().sum());
-        let replicas = seen.map(|seen| seen.demand.replicas());
-        input.demand = replicas.filter(|_| seen.is_some_and(|seen| seen.news.is_complete()));
+        let observed = self.demand(control, service, input.running.values().sum());
+        let replicas = observed.map(|observed| observed.demand.replicas());
+        input.demand =
+            replicas.filter(|_| observed.is_some_and(|observed| observed.coverage.is_complete()));
         if let Some(demand) = replicas.filter(|demand| *demand > 0.0) {
             let runs = self.rates.get(&service.name).map_or(0.0, |rates| rates.runs);
-            input.lost_to_limits = limited(control, &service.name, runs / demand);
+            input.lost_to_limits = replicas_lost_to_limits(control, &service.name, runs / demand);
         }
-        (input, seen)
+        (input, observed)
     }
 
     /// The demand for a service; none while too little was seen of its engines, or not for long, or while
@@ -141,47 +146,49 @@
         control: &Control,
         service: &ServiceSpec,
         running: u32,
-    ) -> Option<SeenDemand> {
+    ) -> Option<ObservedDemand> {
         let engine = service.engine.as_ref()?;
         let ledger = control.usage_ledger.borrow();
-        let told = ledger.rates(control.now(), &service.name);
-        if told.runs > 0.0 {
-            self.seen_since.entry(service.name.clone()).or_insert_with(clock::now);
+        let reported = ledger.rates(control.now(), &service.name);
+        if reported.runs > 0.0 {
+            self.observed_since.entry(service.name.clone()).or_insert_with(clock::now);
         }
-        let since = *self.seen_since.get(&service.name)?;
+        let since = *self.observed_since.get(&service.name)?;
         let speeds = ledger.speeds(&service.name);
         if !speeds.are_reliable() {
             return None;
         }
         let size = EngineSize { batch_slots: engine.slots, memory_tokens: engine.memory_tokens };
-        let news = ledger.work_coverage(control.now(), telling::sharers(control).known);
-        let ReportCoverage { reporting, known, .. } = news;
+        let coverage = ledger.work_coverage(control.now(), entry_updates::sharers(control).known);
+        let ReportCoverage { reporting, known, .. } = coverage;
         let last = self.rates.get(&service.name).copied();
-        let rates = told.extrapolate(reporting, known, last)?;
+        let rates = reported.extrapolate(reporting, known, last)?;
         if reporting >= known {
-            self.rates.insert(service.name.clone(), told);
+            self.rates.insert(service.name.clone(), reported);
         }
-        let settled = clock::elapsed(since) >= SETTLED_AFTER;
-        settled.then(|| SeenDemand { demand: speeds.demand(rates, size, running), news })
+        let settled = clock::elapsed(since) >= MIN_OBSERVATION_TIME;
+        settled.then(|| ObservedDemand { demand: speeds.demand(rates, size, running), coverage })
     }
 }
 
 /// Tells the planner of a service of a demand that was not seen in full: it may order more by that, not less.
-fn learn_least(planner: &mut Planner, seen: Option<SeenDemand>) {
-    if let Some(SeenDemand { demand, .. }) = seen.filter(|seen| !seen.news.is_complete()) {
+fn record_lower_bound(planner: &mut Planner, observed: Option<ObservedDemand>) {
+    if let Some(ObservedDemand { demand, .. }) =
+        observed.filter(|observed| !observed.coverage.is_complete())
+    {
         planner.observe_min_demand(clock::now(), demand.replicas());
     }
 }
 
 /// Adds the demand in replicas, what keeps them busy, and whose news that goes by.
-fn with_demand(line: Line, seen: Option<SeenDemand>, control: &Control) -> Line {
-    let Some(SeenDemand { demand, news }) = seen else {
-        let known = telling::sharers(control).known;
-        let news = control.usage_ledger.borrow().work_coverage(control.now(), known);
-        return with_news(line.with("demand", "unknown"), news);
+fn with_demand(line: Line, observed: Option<ObservedDemand>, control: &Control) -> Line {
+    let Some(ObservedDemand { demand, coverage }) = observed else {
+        let known = entry_updates::sharers(control).known;
+        let coverage = control.usage_ledger.borrow().work_coverage(control.now(), known);
+        return with_coverage(line.with("demand", "unknown"), coverage);
     };
     let replicas = |count: f64| format!("{count:.2}");
-    with_news(line, news)
+    with_coverage(line, coverage)
         .with("demand", replicas(demand.replicas()))
         .with("binding", demand.binding())
         .with("reading", replicas(demand.reading))
@@ -190,11 +197,11 @@
 }
 
 /// Adds whose news a decision goes by.
-fn with_news(line: Line, news: ReportCoverage) -> Line {
-    line.with("heard", news.reporting)
-        .with("throughout", news.reporting_throughout)
-        .with("known", news.known)
-        .with("news_ms_old", news.oldest_age.as_millis())
+fn with_coverage(line: Line, coverage: ReportCoverage) -> Line {
+    line.with("heard", coverage.reporting)
+        .with("throughout", coverage.reporting_throughout)
+        .with("known", coverage.known)
+        .with("news_ms_old", coverage.oldest_age.as_millis())
 }
 
 /// What runs of a service and what may be ordered; the demand is filled in later.
@@ -206,7 +213,7 @@
         let Some(details) = known.details.as_ref().filter(|d| d.service == service) else {
             continue;
         };
-        let heard = now.saturating_duration_since(known.last_report_at) < HEARD_WITHIN;
+        let heard = now.saturating_duration_since(known.last_report_at) < MAX_HEARTBEAT_AGE;
         let kind = if details.reclaimable { Kind::Reclaimable } else { Kind::OnDemand };
         let zone = details.availability_zone.clone();
         if known.lifecycle == Lifecycle::Ready && heard {
@@ -229,9 +236,9 @@
 }
 
 /// What of a service's replicas is lost to limits that they name, in replicas; one that is busy all the time would do
-/// `full` requests a second.
-fn limited(control: &Control, service: &str, full: f64) -> f64 {
-    if full <= 0.0 {
+/// `full_rate` requests a second.
+fn replicas_lost_to_limits(control: &Control, service: &str, full_rate: f64) -> f64 {
+    if full_rate <= 0.0 {
         return 0.0;
     }
     let limits = control.limits.borrow();
@@ -241,8 +248,8 @@
             .get(instance)
             .filter(|named| named.matches_incarnation(known.born) && !named.lifted)?;
         let serves = known.details.as_ref().is_some_and(|details| details.service == service);
-        let takes = (named.rate.per_second() / full).min(1.0);
-        (serves && known.lifecycle == Lifecycle::Ready).then_some(1.0 - takes)
+        let served = (named.rate.per_second() / full_rate).min(1.0);
+        (serves && known.lifecycle == Lifecycle::Ready).then_some(1.0 - served)
     });
     lost.sum()
 }
@@ -256,7 +263,7 @@
 ) -> Answer {
     let req = protocol.capacity_order(&control.holder(), service, order);
     match duties::call(control, cloud, req).await {
-        CallEnd::Answered(status) => protocol.order_answer(status),
-        CallEnd::Unknown => Answer::Unknown,
+        CallResult::Answered(status) => protocol.order_answer(status),
+        CallResult::Unknown => Answer::Unknown,
     }
 }
--- a/crates/vaneway-server/src/core/control/changes.rs
+++ b/crates/vaneway-server/src/core/control/changes.rs
@@ -10,23 +10,23 @@
 use crate::util::frames::EncodedFrame;
 
 /// Changes that are kept at most.
-const CHANGES_MOST: usize = 64;
+const MAX_CHANGES: usize = 64;
 
 /// Routes, services and organisations in them at most.
-const PARTS_MOST: usize = 4_096;
+const MAX_PARTS: usize = 4_096;
 
 /// The latest changes, the last of which made the configuration that is agreed on.
 #[derive(Debug, Default)]
-pub struct Changes {
+pub struct ConfigurationHistory {
     kept: VecDeque<ConfigurationChange>,
     /// Answers to entry boxes, by the version that they have; 0 for the whole.
-    answers: BTreeMap<Version, EncodedFrame>,
+    encoded_updates: BTreeMap<Version, EncodedFrame>,
 }
 
-impl Changes {
+impl ConfigurationHistory {
     /// Takes note that a configuration was agreed on after another one.
     pub fn record(&mut self, before: Option<&Configuration>, now: &Configuration) {
-        self.answers.clear();
+        self.encoded_updates.clear();
         let change = before.and_then(|before| ConfigurationChange::between(before, now));
         let Some(change) = change else {
             self.kept.clear();
@@ -34,22 +34,22 @@
         };
         self.kept.push_back(change);
         let parts = |kept: &VecDeque<_>| kept.iter().map(ConfigurationChange::parts).sum::<usize>();
-        while self.kept.len() > CHANGES_MOST || parts(&self.kept) > PARTS_MOST {
+        while self.kept.len() > MAX_CHANGES || parts(&self.kept) > MAX_PARTS {
             self.kept.pop_front();
         }
     }
 
     /// What leads an entry box that has a version to the configuration `now`, which is agreed on.
-    pub fn answer(&mut self, now: &Configuration, have: Version) -> EncodedFrame {
+    pub fn update_since(&mut self, now: &Configuration, have: Version) -> EncodedFrame {
         let change = self.since(have);
         let version = change.as_ref().map_or(0, |change| change.base);
-        let answer = self.answers.entry(version).or_insert_with(|| {
+        let update = self.encoded_updates.entry(version).or_insert_with(|| {
             EncodedFrame::new(&match change {
                 Some(change) => ToEntry::ConfigurationChange(change),
                 None => ToEntry::Configuration(now.clone()),
             })
         });
-        answer.clone()
+        update.clone()
     }
 
     /// What differs from a version; none if its changes are not kept.
--- a/crates/vaneway-server/src/core/control/news.rs
+++ b/crates/vaneway-server/src/core/control/dissemination.rs
@@ -3,7 +3,7 @@
 //! Data flow: endpoints register here, entry boxes and other control boxes tell what they heard. What is news here goes to
 //! the entry boxes, and to the other control boxes unless one of these told it ([`Source`]): so what one of n control boxes
 //! hears makes n messages between them, however they merge it. Whoever missed it is told all over the next connection.
-//! [`PassedOn`] counts what goes out, since each piece becomes a message to every box.
+//! [`ForwardedCounts`] counts what goes out, since each piece becomes a message to every box.
 
 use std::cell::Cell;
 
@@ -33,7 +33,7 @@
 
 /// A kind of news.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum UpdateKind {
     /// Where endpoints stand.
     Registrations,
     /// Under which requests endpoints ended.
@@ -44,31 +44,31 @@
 
 /// Pieces of news passed on between two looks from which on their number is logged: more than a crash of a third of a large
 /// fleet makes.
-const LOGGED_FROM: usize = 1_000;
+const LOG_THRESHOLD: usize = 1_000;
 
 /// Pieces of news that this box passed on, by kind, since it was last looked at.
 #[derive(Debug, Default)]
-pub struct PassedOn {
+pub struct ForwardedCounts {
     registrations: Cell<usize>,
     findings: Cell<usize>,
     limits: Cell<usize>,
 }
 
-impl PassedOn {
-    fn count(&self, kind: Kind, pieces: usize) {
+impl ForwardedCounts {
+    fn count(&self, kind: UpdateKind, updates: usize) {
         let counter = match kind {
-            Kind::Registrations => &self.registrations,
-            Kind::Findings => &self.findings,
-            Kind::Limits => &self.limits,
+            UpdateKind::Registrations => &self.registrations,
+            UpdateKind::Findings => &self.findings,
+            UpdateKind::Limits => &self.limits,
         };
-        counter.update(|count| count + pieces);
+        counter.update(|count| count + updates);
     }
 
     /// Logs what was passed on since the last look, if it is much.
-    pub(super) fn look(&self) {
+    pub(super) fn log_if_many(&self) {
         let (registrations, findings, limits) =
             (self.registrations.take(), self.findings.take(), self.limits.take());
-        if registrations + findings + limits < LOGGED_FROM {
+        if registrations + findings + limits < LOG_THRESHOLD {
             return;
         }
         Line::new("news_passed_on")
@@ -80,7 +80,7 @@
 }
 
 /// All that another control box has to hear that may have missed some of it.
-pub(super) fn all_for_control(control: &Control) -> Vec<BetweenControl> {
+pub(super) fn full_state(control: &Control) -> Vec<BetweenControl> {
     let now = control.time();
     let reports = control.registry.borrow().reports(clock::now());
     let findings = control.quarantine.borrow().valid_records(now);
@@ -96,13 +96,13 @@
 }
 
 /// Takes in what another control box tells; what is no news is left alone.
-pub(super) fn learn_from_control(control: &Control, message: BetweenControl) {
+pub(super) fn merge_from_control(control: &Control, message: BetweenControl) {
     match message {
-        BetweenControl::Registry(reports) => learn_endpoints(control, &reports, Source::Control),
+        BetweenControl::Registry(reports) => merge_endpoints(control, &reports, Source::Control),
         BetweenControl::QuarantineRecords(findings) => {
-            learn_findings(control, &findings, Source::Control)
+            merge_quarantine_records(control, &findings, Source::Control)
         }
-        BetweenControl::Limits(told) => learn_limits(control, &told, Source::Control),
+        BetweenControl::Limits(reported) => merge_limits(control, &reported, Source::Control),
         // The answer to a ping has nothing that the ping on the other connection doesn't have.
         BetweenControl::Hello { .. }
         | BetweenControl::Ping { .. }
@@ -112,10 +112,10 @@
 }
 
 /// Takes reports of endpoints in and passes on what is news.
-pub fn learn_endpoints(control: &Control, reports: &[Report], source: Source) {
+pub fn merge_endpoints(control: &Control, reports: &[Report], source: Source) {
     let direct = source == Source::Endpoint;
     let now = clock::now();
-    let mut news = Vec::new();
+    let mut updates = Vec::new();
     for report in reports {
         let born_before = control.registry.borrow().born(&report.instance);
         let change = control.registry.borrow_mut().merge(now, report);
@@ -124,7 +124,9 @@
             control.parts.borrow_mut().remove_endpoint(&report.instance);
         }
         match change {
-            Change::Updated => news.extend(control.registry.borrow().report(now, &report.instance)),
+            Change::Updated => {
+                updates.extend(control.registry.borrow().report(now, &report.instance))
+            }
             Change::Refreshed if direct => {
                 for peer in control.peers.borrow().values() {
                     peer.refreshed.borrow_mut().insert(report.instance.clone());
@@ -133,10 +135,10 @@
             Change::Refreshed | Change::Unchanged => {}
         }
     }
-    if news.is_empty() {
+    if updates.is_empty() {
         return;
     }
-    for report in &news {
+    for report in &updates {
         Line::new("endpoint")
             .with("replica", &report.instance)
             .with("born", report.born)
@@ -150,36 +152,40 @@
             .with("direct", direct)
             .info();
     }
-    control.passed_on.count(Kind::Registrations, news.len());
-    links::send_to_entries(control, &ToEntry::Registry(news.clone()));
+    control.forwarded.count(UpdateKind::Registrations, updates.len());
+    links::send_to_entries(control, &ToEntry::Registry(updates.clone()));
     if source != Source::Control {
-        peers::send_to_all(control, BetweenControl::Registry(news));
+        peers::send_to_all(control, BetweenControl::Registry(updates));
     }
 }
 
 /// Takes in under which requests endpoints ended, and passes on what is news: to the entry boxes that this box tells
 /// of others, and to the other control boxes, which may hear other entry boxes.
-pub(super) fn learn_findings(control: &Control, findings: &[QuarantineRecord], source: Source) {
-    let news = control.quarantine.borrow_mut().merge(control.time(), findings);
-    if news.is_empty() {
+pub(super) fn merge_quarantine_records(
+    control: &Control,
+    findings: &[QuarantineRecord],
+    source: Source,
+) {
+    let updates = control.quarantine.borrow_mut().merge(control.time(), findings);
+    if updates.is_empty() {
         return;
     }
-    control.passed_on.count(Kind::Findings, news.len());
-    links::send_to_those_told_of_loads(control, &ToEntry::QuarantineRecords(news.clone()));
+    control.forwarded.count(UpdateKind::Findings, updates.len());
+    links::send_to_load_subscribers(control, &ToEntry::QuarantineRecords(updates.clone()));
     if source != Source::Control {
-        peers::send_to_all(control, BetweenControl::QuarantineRecords(news));
+        peers::send_to_all(control, BetweenControl::QuarantineRecords(updates));
     }
 }
 
 /// Takes in which limits endpoints named, and has what is news told to the entry boxes that this box tells of others, and
 /// to the other control boxes.
-pub(super) fn learn_limits(control: &Control, told: &[EndpointLimit], source: Source) {
+pub(super) fn merge_limits(control: &Control, reported: &[EndpointLimit], source: Source) {
     let mut limits = control.limits.borrow_mut();
-    let news = limits.merge(control.time(), told);
-    control.passed_on.count(Kind::Limits, news.len());
-    limits.forward(&news);
+    let updates = limits.merge(control.time(), reported);
+    control.forwarded.count(UpdateKind::Limits, updates.len());
+    limits.forward(&updates);
     if source != Source::Control {
-        let endpoints = news.into_iter().map(|news| news.endpoint);
+        let endpoints = updates.into_iter().map(|update| update.endpoint);
         control.limits_for_peers.borrow_mut().extend(endpoints);
     }
 }
--- a/crates/vaneway-server/src/core/control/duties.rs
+++ b/crates/vaneway-server/src/core/control/duties.rs
@@ -17,11 +17,11 @@
 
 use crate::core::cluster_time::Window;
 use crate::core::control::capacity::Orders;
+use crate::core::control::entry_updates;
 use crate::core::control::group;
 use crate::core::control::machine::Command;
 use crate::core::control::protocol::CloudProtocol;
 use crate::core::control::state::Control;
-use crate::core::control::telling;
 use crate::core::endpoints::link::EndpointRequest;
 use crate::core::settings::CloudSettings;
 use crate::core::usage::UsageLedger;
@@ -29,32 +29,32 @@
 use crate::util::logline::Line;
 
 /// Time between two looks at what is due.
-const LOOK_EVERY: Duration = Duration::from_millis(300);
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Time after a window's end at which its counts are fixed: entry boxes have told them by then.
-const FIX_AFTER: Duration = Duration::from_millis(1_500);
+const FIX_DELAY: Duration = Duration::from_millis(1_500);
 
 /// The same while an entry box that may be there has told nothing since the window's end, since it may be cut off for a
 /// while: long enough for most cuts, and short enough that a report is in time even if the leader is lost
 /// then.
-const FIX_LATEST: Duration = Duration::from_secs(5);
+const MAX_FIX_DELAY: Duration = Duration::from_secs(5);
 
 /// How long one call may take. Its connection is reset then, so that nothing of it can still
 /// arrive.
-const ANSWER_WITHIN: Duration = Duration::from_millis(700);
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Time that a new leader waits: by then the lease of the one before is over, and so is any call
 /// that it began within its lease.
-const TAKE_OVER_AFTER: Duration = Duration::from_millis(1_600);
+const TAKEOVER_DELAY: Duration = Duration::from_millis(1_600);
 
 /// How long the fixing of a report may take.
-const FIX_WITHIN: Duration = Duration::from_secs(1);
+const FIX_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Windows before the present one for which a report may still be of use.
-const WINDOWS_BACK: u64 = 4;
+const MAX_WINDOWS_BACK: u64 = 4;
 
 /// Largest answer of the cloud that is read.
-const ANSWER_BYTES_MOST: usize = 64 << 10;
+const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
 /// Does the leader's duties until dropped.
 pub async fn run<C: CloudProtocol>(control: Rc<Control>, protocol: C) {
@@ -63,10 +63,10 @@
     let mut began: Option<Window> = None;
     let mut orders = Orders::default();
     loop {
-        control.timers.sleep(LOOK_EVERY).await;
+        control.timers.sleep(CHECK_INTERVAL).await;
         if cloud.capacity_orders {
             if holds_duty(&control) {
-                orders.give(&control, &cloud, &protocol).await;
+                orders.place_due(&control, &cloud, &protocol).await;
             } else {
                 orders.watch(&control);
             }
@@ -85,19 +85,19 @@
 /// Whether this box may act for the deployment now.
 pub(super) fn holds_duty(control: &Control) -> bool {
     let settled =
-        control.leads_since.get().is_some_and(|since| clock::elapsed(since) > TAKE_OVER_AFTER);
-    settled && control.leads_surely() && !control.stopping.get()
+        control.leader_since.get().is_some_and(|since| clock::elapsed(since) > TAKEOVER_DELAY);
+    settled && control.has_valid_lease() && !control.stopping.get()
 }
 
 /// Whether a window that ended has to be reported by this box: it was up in it, or entry boxes tell of
 /// requests in it. The latter also holds for a window that ended while all control boxes were down.
-pub fn is_due(ledger: &UsageLedger, reported: bool, first: Window, window: Window) -> bool {
+pub fn is_report_due(ledger: &UsageLedger, reported: bool, first: Window, window: Window) -> bool {
     !reported && (window >= first || ledger.has_window(window))
 }
 
 /// Whether all that was used from `begin` to `end` is heard, where `known` entry boxes may be there: each has told something
 /// since. If none has, nothing is known of it.
-pub fn is_whole(ledger: &UsageLedger, begin: Duration, end: Duration, known: u32) -> bool {
+pub fn is_usage_complete(ledger: &UsageLedger, begin: Duration, end: Duration, known: u32) -> bool {
     let (first, last) = (vaneway_quota::slot(begin), vaneway_quota::slot(end));
     !ledger.awaits_reports(first, last) && ledger.reporters_since(last) >= known.max(1)
 }
@@ -106,43 +106,43 @@
 /// box began to look.
 async fn fix_reports(control: &Rc<Control>, first: Window, present: Window) {
     let length = control.settings.window;
-    for window in present.saturating_sub(WINDOWS_BACK)..present {
+    for window in present.saturating_sub(MAX_WINDOWS_BACK)..present {
         let reported = control.machine.borrow().usage().contains_key(&window);
-        if !is_due(&control.usage_ledger.borrow(), reported, first, window) {
+        if !is_report_due(&control.usage_ledger.borrow(), reported, first, window) {
             continue;
         }
         let begin = Duration::from_millis(window * length.as_millis() as u64);
         let end = begin + length;
-        let known = telling::sharers(control).known;
+        let known = entry_updates::sharers(control).known;
         let since_end = control.time().saturating_sub(end);
-        let is_whole = is_whole(&control.usage_ledger.borrow(), begin, end, known);
-        if since_end < if is_whole { FIX_AFTER } else { FIX_LATEST } {
+        let is_complete = is_usage_complete(&control.usage_ledger.borrow(), begin, end, known);
+        if since_end < if is_complete { FIX_DELAY } else { MAX_FIX_DELAY } {
             continue;
         }
         let counts = control.usage_ledger.borrow().counts(window);
         Line::new("usage_fixed")
             .with("window", window)
             .with("requests", counts.values().sum::<u64>())
-            .with("whole", is_whole)
+            .with("whole", is_complete)
             .with("heard", control.usage_ledger.borrow().reporters_since(vaneway_quota::slot(end)))
             .with("known", known)
             .with("ended_ms_ago", since_end.as_millis())
             .info();
         let command = Command::FixUsage { window, counts };
-        group::propose(control, &command, clock::now() + FIX_WITHIN).await;
+        group::propose(control, &command, clock::now() + FIX_TIMEOUT).await;
     }
 }
 
 /// What became of a call to the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum CallEnd {
+pub(super) enum CallResult {
     /// It answered with this status.
     Answered(StatusCode),
     /// It may or may not have taken the call.
     Unknown,
 }
 
-impl CallEnd {
+impl CallResult {
     fn is_success(self) -> bool {
         matches!(self, Self::Answered(status) if status.is_success())
     }
@@ -153,25 +153,25 @@
     control: &Control,
     cloud: &CloudSettings,
     mut req: EndpointRequest,
-) -> CallEnd {
+) -> CallResult {
     let host = cloud.address.to_string();
     if let Ok(host) = HeaderValue::from_str(&host) {
         req.headers_mut().insert(HOST, host);
     }
     let path = req.uri().path().to_owned();
-    let until = clock::now() + ANSWER_WITHIN;
+    let until = clock::now() + CALL_TIMEOUT;
     let (connections, timers) = (&control.connections, &control.timers);
-    let exchange = connections.exchange(timers, cloud.address, req, ANSWER_BYTES_MOST, until);
+    let exchange = connections.exchange(timers, cloud.address, req, MAX_RESPONSE_BYTES, until);
     match exchange.await {
         Ok((status, _body)) => {
             if !status.is_success() {
                 Line::new("cloud_refused").with("path", path).with("status", status).info();
             }
-            CallEnd::Answered(status)
+            CallResult::Answered(status)
         }
         Err(error) => {
             Line::new("cloud_call_failed").with("path", path).with("cause", &error.cause).info();
-            CallEnd::Unknown
+            CallResult::Unknown
         }
     }
 }
@@ -184,7 +184,7 @@
     sent: &mut BTreeSet<Window>,
     present: Window,
 ) {
-    let from = present.saturating_sub(WINDOWS_BACK);
+    let from = present.saturating_sub(MAX_WINDOWS_BACK);
     sent.retain(|window| *window >= from);
     let due: Vec<_> = {
         let machine = control.machine.borrow();
@@ -197,14 +197,14 @@
         }
         let holder = control.holder();
         let req = protocol.usage_report(&holder, window, &counts);
-        let taken = call(control, cloud, req).await.is_success();
+        let accepted = call(control, cloud, req).await.is_success();
         Line::new("usage_report")
             .with("window", window)
             .with("requests", counts.values().sum::<u64>())
             .with("fence", holder.fence)
-            .with("taken", taken)
+            .with("taken", accepted)
             .info();
-        if taken {
+        if accepted {
             sent.insert(window);
         }
     }
--- a/crates/vaneway-server/src/core/control/telling.rs
+++ b/crates/vaneway-server/src/core/control/entry_updates.rs
@@ -1,8 +1,8 @@
 //! What a control box tells entry boxes of each other.
 //!
-//! Data flow: entry boxes say what they want to be told (`tell_from_now_on`), each of few control boxes.
-//! What the others took of quotas is told again and again ([`tell_entries`]), since it changes all the
-//! time; loads and kept prompt parts as soon as they change ([`tell_loads`]), the same bytes to all.
+//! Data flow: entry boxes say what they want to be told (`subscribe`), each of few control boxes.
+//! What the others took of quotas is told again and again ([`publish_usage`]), since it changes all the
+//! time; loads and kept prompt parts as soon as they change ([`publish_loads`]), the same bytes to all.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -32,13 +32,13 @@
 use crate::util::frames::EncodedFrame;
 
 /// How long an entry box that was lost counts as one that may still take requests.
-const LOST_COUNTED: Duration = Duration::from_secs(8);
+const LOST_ENTRY_RETENTION: Duration = Duration::from_secs(8);
 
 /// Age of the last sign of a leader up to which this box is not cut off.
-const LED_WITHIN: Duration = Duration::from_millis(1_500);
+const MAX_LEADER_AGE: Duration = Duration::from_millis(1_500);
 
 /// Tells the entry boxes again and again what the others used, until dropped.
-pub async fn tell_entries(control: Rc<Control>) {
+pub async fn publish_usage(control: Rc<Control>) {
     let mut boxes = Vec::new();
     let mut round: u64 = 0;
     loop {
@@ -49,8 +49,8 @@
             links::send_to_entries(&control, &ToEntry::ControlBoxes(now_boxes.clone()));
         }
         boxes = now_boxes;
-        tell_use(&control, round.is_multiple_of(USAGE_REPORTS_PER_FULL)).await;
-        tell_box_numbers(&control).await;
+        send_usage(&control, round.is_multiple_of(USAGE_REPORTS_PER_FULL)).await;
+        send_box_numbers(&control).await;
     }
 }
 
@@ -59,37 +59,37 @@
 /// it may then be this box that is cut off.
 pub(super) fn sharers(control: &Control) -> Sharers {
     let now = clock::now();
-    let mut seen = control.entries_seen.borrow_mut();
+    let mut seen = control.entries_last_seen.borrow_mut();
     for link in control.entries.borrow().values() {
         seen.insert(link.start.0.clone(), now);
     }
-    let heard = seen.values().filter(|at| **at == now).count() as u32;
-    let is_led = now.saturating_duration_since(control.led_at.get()) < LED_WITHIN;
+    let reporting = seen.values().filter(|at| **at == now).count() as u32;
+    let is_led = now.saturating_duration_since(control.last_leader_at.get()) < MAX_LEADER_AGE;
     if is_led {
-        seen.retain(|_, at| now.saturating_duration_since(*at) < LOST_COUNTED);
+        seen.retain(|_, at| now.saturating_duration_since(*at) < LOST_ENTRY_RETENTION);
     }
     let seen = seen.len() as u32;
     // A box that has just started has not seen those that still come, and would share out all retries among the
     // first.
-    let may_come = clock::elapsed(control.started) < LOST_COUNTED || !is_led;
-    let known = if may_come { seen.max(control.entries_told.get()) } else { seen };
-    Sharers { heard, known }
+    let more_may_connect = clock::elapsed(control.started) < LOST_ENTRY_RETENTION || !is_led;
+    let known = if more_may_connect { seen.max(control.reported_entry_count.get()) } else { seen };
+    Sharers { reporting, known }
 }
 
 /// When each connected entry box made its last report that is recent.
-fn heard_at(control: &Control, now: Duration) -> BTreeMap<EntryIncarnation, Duration> {
+fn last_report_times(control: &Control, now: Duration) -> BTreeMap<EntryIncarnation, Duration> {
     let ledger = control.usage_ledger.borrow();
     let links = control.entries.borrow();
-    let heard = links.values().filter_map(|link| {
+    let times = links.values().filter_map(|link| {
         let at = ledger.last_report_at(now, &link.start)?;
         Some((link.start.clone(), at))
     });
-    heard.collect()
+    times.collect()
 }
 
 /// Tells entry boxes what the others took of quotas, if they want to know; all slots, or the latest.
-async fn tell_use(control: &Control, all: bool) {
-    let told = links_that_want(control, |wanted| wanted.quotas);
+async fn send_usage(control: &Control, all: bool) {
+    let told = subscribers(control, |subscription| subscription.quotas);
     if told.is_empty() {
         return;
     }
@@ -98,7 +98,7 @@
     } else {
         control.usage_ledger.borrow_mut().quotas().first_slot_to_send(SLOTS_PER_REPORT)
     };
-    let news = QuotaNews::of(control, first);
+    let news = QuotaUpdate::of(control, first);
     for link in told {
         control.turns.next().await;
         link.outgoing.send(&news.for_entry(control, &link.start));
@@ -106,21 +106,21 @@
 }
 
 /// The connections of entry boxes that want to be told something.
-fn links_that_want(control: &Control, what: impl Fn(Wanted) -> bool) -> Vec<Rc<EntryLink>> {
+fn subscribers(control: &Control, what: impl Fn(Wanted) -> bool) -> Vec<Rc<EntryLink>> {
     let links = control.entries.borrow();
-    links.values().filter(|link| what(link.wanted.get())).cloned().collect()
+    links.values().filter(|link| what(link.subscription.get())).cloned().collect()
 }
 
 /// Tells entry boxes what all have open at endpoints and which prompt parts they brought there, as soon as
 /// it changes, until dropped.
-pub async fn tell_loads(control: Rc<Control>) {
+pub async fn publish_loads(control: Rc<Control>) {
     let mut round: u64 = 0;
     loop {
         control.timers.sleep(LOAD_REPORT_INTERVAL).await;
         round += 1;
         let whole = round.is_multiple_of(LOAD_REPORTS_PER_FULL);
-        tell_parts(&control, whole).await;
-        tell_limits(&control).await;
+        send_parts(&control, whole).await;
+        send_limits(&control).await;
         let loads = {
             let mut ledger = control.usage_ledger.borrow_mut();
             let changed = ledger.loads().take_changed();
@@ -130,7 +130,7 @@
             continue;
         }
         let message = EncodedFrame::new(&ToEntry::Loads { whole, loads });
-        for link in links_that_want(&control, |wanted| wanted.loads) {
+        for link in subscribers(&control, |subscription| subscription.loads) {
             control.turns.next().await;
             // One that has not taken in the last telling gets the next whole one, not a queue of old ones.
             if !link.outgoing.has_queued() {
@@ -141,7 +141,7 @@
 }
 
 /// Tells the prompt parts that entry boxes brought to endpoints; forgets old ones now and then.
-async fn tell_parts(control: &Control, forget: bool) {
+async fn send_parts(control: &Control, forget: bool) {
     let news = {
         let mut parts = control.parts.borrow_mut();
         if forget {
@@ -150,21 +150,21 @@
         parts.take_updates()
     };
     if !news.is_empty() {
-        send_to_those_that_want_loads(control, &ToEntry::Parts(news)).await;
+        send_to_load_subscribers_in_turns(control, &ToEntry::Parts(news)).await;
     }
 }
 
 /// Sends a message to all entry boxes that this box tells of loads, one in a turn.
-async fn send_to_those_that_want_loads(control: &Control, message: &ToEntry) {
+async fn send_to_load_subscribers_in_turns(control: &Control, message: &ToEntry) {
     let message = EncodedFrame::new(message);
-    for link in links_that_want(control, |wanted| wanted.loads) {
+    for link in subscribers(control, |subscription| subscription.loads) {
         control.turns.next().await;
         link.outgoing.send_encoded(&message);
     }
 }
 
 /// Tells which limits endpoints named, to the entry boxes that this box tells of others and to the other control boxes.
-async fn tell_limits(control: &Control) {
+async fn send_limits(control: &Control) {
     let news = {
         let mut limits = control.limits.borrow_mut();
         let registry = control.registry.borrow();
@@ -181,11 +181,11 @@
     if !for_peers.is_empty() {
         peers::send_to_all(control, BetweenControl::Limits(for_peers));
     }
-    send_to_those_that_want_loads(control, &ToEntry::Limits(news)).await;
+    send_to_load_subscribers_in_turns(control, &ToEntry::Limits(news)).await;
 }
 
 /// Tells entry boxes which of all that there may be they are, as soon as it changes.
-async fn tell_box_numbers(control: &Control) {
+async fn send_box_numbers(control: &Control) {
     for (link, number) in changed_box_numbers(control) {
         control.turns.next().await;
         link.outgoing.send(&ToEntry::BoxNumber(number));
@@ -195,24 +195,25 @@
 /// The numbers of entry boxes that they have not been told yet, by the order of the names of all that may be there.
 fn changed_box_numbers(control: &Control) -> Vec<(Rc<EntryLink>, BoxNumber)> {
     let of = sharers(control).known;
-    let seen = control.entries_seen.borrow();
+    let seen = control.entries_last_seen.borrow();
     let numbers: BTreeMap<&str, u32> = seen.keys().map(String::as_str).zip(0..).collect();
-    let changed = links_that_want(control, |wanted| wanted.loads).into_iter().filter_map(|link| {
-        let number = BoxNumber { number: *numbers.get(link.start.0.as_str())?, of };
-        let is_news = link.box_number.replace(Some(number)) != Some(number);
-        is_news.then_some((link, number))
-    });
+    let changed =
+        subscribers(control, |subscription| subscription.loads).into_iter().filter_map(|link| {
+            let number = BoxNumber { number: *numbers.get(link.start.0.as_str())?, of };
+            let is_news = link.box_number.replace(Some(number)) != Some(number);
+            is_news.then_some((link, number))
+        });
     changed.collect()
 }
 
 /// Begins or ceases to tell an entry box of the others; what it wants newly, it is told whole at once.
-pub(super) fn tell_from_now_on(control: &Control, link: u64, wanted: Wanted) {
+pub(super) fn subscribe(control: &Control, link: u64, subscription: Wanted) {
     let Some(link) = control.entries.borrow().get(&link).cloned() else { return };
-    let before = link.wanted.replace(wanted);
-    if wanted.quotas && !before.quotas {
-        link.outgoing.send(&QuotaNews::of(control, 0).for_entry(control, &link.start));
+    let before = link.subscription.replace(subscription);
+    if subscription.quotas && !before.quotas {
+        link.outgoing.send(&QuotaUpdate::of(control, 0).for_entry(control, &link.start));
     }
-    if wanted.loads && !before.loads {
+    if subscription.loads && !before.loads {
         let loads = control.usage_ledger.borrow_mut().loads().all();
         link.outgoing.send(&ToEntry::Loads { whole: true, loads });
         link.outgoing.send(&ToEntry::Parts(control.parts.borrow().all()));
@@ -230,9 +231,9 @@
 }
 
 /// Who shares the quotas, as all that are told at a time are told.
-struct QuotaNews {
+struct QuotaUpdate {
     /// The entry boxes that are heard; none if this box can't tell the time.
-    heard: BTreeSet<EntryIncarnation>,
+    reporting: BTreeSet<EntryIncarnation>,
     /// Until when the use of all of them is known.
     as_of: Option<Duration>,
     known: u32,
@@ -240,13 +241,14 @@
     first: Slot,
 }
 
-impl QuotaNews {
+impl QuotaUpdate {
     /// From the slot `first` on.
     fn of(control: &Control, first: Slot) -> Self {
         let Sharers { known, .. } = sharers(control);
-        let heard_at = control.known_time().map(|now| heard_at(control, now)).unwrap_or_default();
-        let as_of = heard_at.values().min().copied();
-        Self { heard: heard_at.into_keys().collect(), as_of, known, first }
+        let report_times =
+            control.known_time().map(|now| last_report_times(control, now)).unwrap_or_default();
+        let as_of = report_times.values().min().copied();
+        Self { reporting: report_times.into_keys().collect(), as_of, known, first }
     }
 
     /// What an entry box is told. The sums are of now, and not of when the telling began: this box may have told
@@ -255,8 +257,8 @@
         let time = control.time();
         let mut ledger = control.usage_ledger.borrow_mut();
         let quotas = ledger.quotas().others(time, self.first, entry);
-        let as_of = self.as_of.filter(|_| self.heard.contains(entry));
-        let heard = self.heard.len() as u32;
+        let as_of = self.as_of.filter(|_| self.reporting.contains(entry));
+        let heard = self.reporting.len() as u32;
         ToEntry::OthersUsage { as_of, reporting: heard, known: self.known, quotas }
     }
 }
--- a/crates/vaneway-server/src/core/control/group.rs
+++ b/crates/vaneway-server/src/core/control/group.rs
@@ -19,16 +19,16 @@
 use crate::core::cluster::wire::BetweenControl;
 use crate::core::control::links;
 use crate::core::control::machine::Command;
+use crate::core::control::machine::ConfigurationDocument;
 use crate::core::control::machine::Effect;
-use crate::core::control::machine::Held;
-use crate::core::control::machine::Machine;
+use crate::core::control::machine::StateMachine;
 use crate::core::control::membership;
-use crate::core::control::membership::MemberView;
+use crate::core::control::membership::MemberStatus;
 use crate::core::control::memory;
 use crate::core::control::peers;
 use crate::core::control::state::Control;
-use crate::core::control::state::Pending;
-use crate::core::control::state::Proposed;
+use crate::core::control::state::PendingProposal;
+use crate::core::control::state::ProposalOutcome;
 use crate::core::control::state::node_address;
 use crate::core::control::store;
 use crate::core::control::store::Write;
@@ -36,37 +36,37 @@
 use crate::util::logline::Line;
 
 /// Bytes of commands after which a snapshot takes their place.
-const SNAPSHOT_BYTES: usize = 4 << 20;
+const SNAPSHOT_THRESHOLD_BYTES: usize = 4 << 20;
 
 /// Time between a leader's heartbeats.
-pub const HEARTBEAT: Duration = Duration::from_millis(100);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Shortest silence of a leader before another is sought.
-pub const ELECTION: Duration = Duration::from_millis(500);
+pub const ELECTION_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Largest difference in speed between two clocks, in parts of a thousand.
-pub const DRIFT_PER_MILLE: u32 = 10;
+pub const MAX_DRIFT_PER_MILLE: u32 = 10;
 
 /// Longest time between two looks at the agreement's deadline, which can come forward meanwhile.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const MAX_TIMER_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time between two looks at the members.
-const MAINTAIN_EVERY: Duration = Duration::from_millis(200);
+const MEMBER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time without a leader after which a node asks to join: it may have been taken out.
-const JOIN_AFTER: Duration = Duration::from_millis(2_500);
+const JOIN_DELAY: Duration = Duration::from_millis(2_500);
 
 /// How long a request to join counts.
-const JOINING_FOR: Duration = Duration::from_secs(2);
+const MAX_JOIN_REQUEST_AGE: Duration = Duration::from_secs(2);
 
 /// Applies an event and carries out what it brings.
 pub fn step(control: &Rc<Control>, event: Event) {
     let event =
-        if memory::is_disk_behind(control) { memory::without_writes(event) } else { Some(event) };
+        if memory::is_disk_behind(control) { memory::strip_writes(event) } else { Some(event) };
     let Some(event) = event else { return };
     let committed = handle(control, event);
     if control.node.borrow().leader().is_some() {
-        control.led_at.set(clock::now());
+        control.last_leader_at.set(clock::now());
     }
     if committed {
         compact(control);
@@ -93,7 +93,7 @@
         let entries = log.between(log.base_index(), index);
         let bytes = store::command_bytes(entries);
         let due = entries.len() as u64 >= control.settings.snapshot_entries
-            || (bytes >= SNAPSHOT_BYTES && entries.len() > 1);
+            || (bytes >= SNAPSHOT_THRESHOLD_BYTES && entries.len() > 1);
         due.then_some(index)
     };
     if let Some(index) = index {
@@ -105,8 +105,8 @@
 
 /// Takes the state of a leader's snapshot.
 fn restore(control: &Rc<Control>, snapshot: &Snapshot) {
-    let before = control.machine.borrow().held().cloned();
-    match Machine::decode(&snapshot.data) {
+    let before = control.machine.borrow().current_configuration().cloned();
+    match StateMachine::decode(&snapshot.data) {
         Ok(machine) => {
             *control.machine.borrow_mut() = machine;
             Line::new("snapshot_taken").with("index", snapshot.index).info();
@@ -118,7 +118,7 @@
                 .error();
         }
     }
-    configured_since(control, before.as_deref());
+    offer_newer_configuration(control, before.as_deref());
 }
 
 fn perform(control: &Rc<Control>, action: Action) {
@@ -128,23 +128,23 @@
             peers::send_to_node(control, to, BetweenControl::Agreement { to, message });
         }
         Action::Persist(persist) => store(control, Write::Persist(persist)),
-        Action::Proposed { ticket, term, index } => {
-            if let Some(tx) = control.tickets.borrow_mut().remove(&ticket) {
-                control.pending.borrow_mut().insert(index, Pending { term, tx });
+        Action::Proposed { proposal_id, term, index } => {
+            if let Some(tx) = control.unlogged_proposals.borrow_mut().remove(&proposal_id) {
+                control.pending_proposals.borrow_mut().insert(index, PendingProposal { term, tx });
             }
         }
-        Action::Refused { ticket, refusal } => {
+        Action::Refused { proposal_id, refusal } => {
             log::debug!("event=proposal_refused refusal={refusal:?}");
-            if let Some(tx) = control.tickets.borrow_mut().remove(&ticket) {
-                let _gone = tx.send(Proposed::NotTaken);
+            if let Some(tx) = control.unlogged_proposals.borrow_mut().remove(&proposal_id) {
+                let _gone = tx.send(ProposalOutcome::NotTaken);
             }
         }
         Action::Commit { entries } => {
-            let before = control.machine.borrow().held().cloned();
+            let before = control.machine.borrow().current_configuration().cloned();
             for entry in entries {
-                committed(control, entry);
+                apply_committed_entry(control, entry);
             }
-            configured_since(control, before.as_deref());
+            offer_newer_configuration(control, before.as_deref());
         }
         Action::Restore { snapshot } => restore(control, &snapshot),
         Action::RoleChanged { role, term } => role_changed(control, role, term),
@@ -167,15 +167,15 @@
         .info();
 }
 
-fn committed(control: &Rc<Control>, entry: Entry) {
+fn apply_committed_entry(control: &Rc<Control>, entry: Entry) {
     let Entry { term, index, payload } = entry;
     match payload {
         Payload::Noop => {}
         Payload::Members(members) => {
             Line::new("members")
                 .with("index", index)
-                .with("voters", list(members.voters))
-                .with("learners", list(members.learners))
+                .with("voters", format_nodes(members.voters))
+                .with("learners", format_nodes(members.learners))
                 .info();
         }
         Payload::Command(bytes) => {
@@ -184,15 +184,15 @@
             }
         }
     }
-    let pending = control.pending.borrow_mut().remove(&index);
+    let pending = control.pending_proposals.borrow_mut().remove(&index);
     if let Some(pending) = pending {
         let same = pending.term == term;
-        let became = if same { Proposed::Committed } else { Proposed::NotTaken };
-        let _gone = pending.tx.send(became);
+        let outcome = if same { ProposalOutcome::Committed } else { ProposalOutcome::NotTaken };
+        let _gone = pending.tx.send(outcome);
     }
 }
 
-fn list(nodes: impl IntoIterator<Item = NodeId>) -> String {
+fn format_nodes(nodes: impl IntoIterator<Item = NodeId>) -> String {
     let names = nodes.into_iter().map(|node| format!("{}/{}", node_address(node), node as u32));
     names.collect::<Vec<_>>().join(",")
 }
@@ -224,19 +224,21 @@
 }
 
 /// Offers the configuration in force to entry boxes if it is another than the one before.
-fn configured_since(control: &Control, before: Option<&Held>) {
-    let held = control.machine.borrow().held().cloned();
-    let version = before.map_or(0, |held| held.configuration.version);
-    let Some(held) = held.filter(|held| held.configuration.version > version) else { return };
-    Line::new("configuration_agreed").with("version", held.configuration.version).info();
-    let before = before.map(|held| &held.configuration);
-    control.changes.borrow_mut().record(before, &held.configuration);
-    links::spread_configuration(control, held.configuration.version);
+fn offer_newer_configuration(control: &Control, before: Option<&ConfigurationDocument>) {
+    let current = control.machine.borrow().current_configuration().cloned();
+    let version = before.map_or(0, |current| current.configuration.version);
+    let Some(current) = current.filter(|current| current.configuration.version > version) else {
+        return;
+    };
+    Line::new("configuration_agreed").with("version", current.configuration.version).info();
+    let before = before.map(|current| &current.configuration);
+    control.changes.borrow_mut().record(before, &current.configuration);
+    links::publish_configuration(control, current.configuration.version);
 }
 
 /// Applies what was committed before this box started, so that entry boxes that start with it need
 /// not wait for a leader. It may be older than the newest, never anything that was not agreed on.
-pub fn apply_committed(machine: &mut Machine, entries: &[Entry], committed: Index) {
+pub fn replay_committed(machine: &mut StateMachine, entries: &[Entry], committed: Index) {
     for entry in entries.iter().filter(|entry| entry.index <= committed) {
         if let Payload::Command(bytes) = &entry.payload
             && let Some(command) = decode(entry.index, bytes)
@@ -249,15 +251,15 @@
 fn role_changed(control: &Rc<Control>, role: Role, term: Term) {
     Line::new("role").with("role", format!("{role:?}")).with("term", term).info();
     let leads = role == Role::Leader;
-    control.leads_since.set(leads.then(clock::now));
+    control.leader_since.set(leads.then(clock::now));
 }
 
 /// Lets time pass for the agreement until dropped.
 pub async fn run_timers(control: Rc<Control>) {
     loop {
         let deadline = control.node.borrow().next_deadline();
-        let look = deadline.min(clock::now() + LOOK_EVERY);
-        control.timers.sleep_until(look).await;
+        let wake_at = deadline.min(clock::now() + MAX_TIMER_INTERVAL);
+        control.timers.sleep_until(wake_at).await;
         step(&control, Event::Tick);
     }
 }
@@ -265,14 +267,15 @@
 /// Keeps the members as they should be, or asks to become one, until dropped.
 pub async fn maintain(control: Rc<Control>) {
     loop {
-        control.timers.sleep(MAINTAIN_EVERY).await;
+        control.timers.sleep(MEMBER_CHECK_INTERVAL).await;
         if control.stopping.get() {
             continue;
         }
         let leads = control.node.borrow().role() == Role::Leader;
         if leads {
             change_members(&control);
-        } else if !is_member(&control) || clock::elapsed(control.led_at.get()) > JOIN_AFTER {
+        } else if !is_member(&control) || clock::elapsed(control.last_leader_at.get()) > JOIN_DELAY
+        {
             let node = control.node.borrow().id();
             peers::send_to_all(&control, BetweenControl::Join { node });
         }
@@ -281,7 +284,7 @@
 
 /// Takes in that `node` wants to join, as `from` says. A box that has no part in the agreement may know only
 /// boxes that don't lead.
-pub(super) fn learn_joining(control: &Control, from: NodeId, node: NodeId) {
+pub(super) fn record_join_request(control: &Control, from: NodeId, node: NodeId) {
     control.joining.borrow_mut().insert(node, clock::now());
     let (own, leader) = {
         let node = control.node.borrow();
@@ -299,44 +302,51 @@
 
 fn change_members(control: &Rc<Control>) {
     let now = clock::now();
-    control.joining.borrow_mut().retain(|_, asked| now - *asked < JOINING_FOR);
+    control
+        .joining
+        .borrow_mut()
+        .retain(|_, requested_at| now - *requested_at < MAX_JOIN_REQUEST_AGE);
     let joining: Vec<NodeId> = control.joining.borrow().keys().copied().collect();
     let change = {
         let node = control.node.borrow();
         let members = node.log().members();
-        let view = |id: NodeId, voter: bool| MemberView {
+        let view = |id: NodeId, voter: bool| MemberStatus {
             node: id,
             voter,
             caught_up: id == node.id() || node.matched(id) >= node.committed(),
-            silent: node.silence(id, now),
+            unresponsive_for: node.time_since_reply(id, now),
         };
         let voters = members.voters.iter().map(|id| view(*id, true));
         let learners = members.learners.iter().map(|id| view(*id, false));
-        let members: Vec<MemberView> = voters.chain(learners).collect();
+        let members: Vec<MemberStatus> = voters.chain(learners).collect();
         membership::next_change(node.id(), &members, &joining)
     };
     if let Some(change) = change {
         log::debug!("event=member_change change={change:?}");
-        let ticket = next_ticket(control);
-        step(control, Event::Change { ticket, change });
+        let proposal_id = next_proposal_id(control);
+        step(control, Event::ChangeMembers { proposal_id, change });
     }
 }
 
-fn next_ticket(control: &Control) -> u64 {
-    control.next_ticket.update(|ticket| ticket + 1);
-    control.next_ticket.get()
+fn next_proposal_id(control: &Control) -> u64 {
+    control.next_proposal_id.update(|proposal_id| proposal_id + 1);
+    control.next_proposal_id.get()
 }
 
 /// Proposes a command and waits until it is applied here; none if that is not known by `until`,
 /// in which case it may still be applied later. Not taken while the disk is far behind.
-pub async fn propose(control: &Rc<Control>, command: &Command, until: Instant) -> Option<Proposed> {
+pub async fn propose(
+    control: &Rc<Control>,
+    command: &Command,
+    until: Instant,
+) -> Option<ProposalOutcome> {
     if memory::is_disk_behind(control) {
         Line::new("proposal_refused").with("unwritten", control.unwritten.get()).warn();
-        return Some(Proposed::NotTaken);
+        return Some(ProposalOutcome::NotTaken);
     }
     let (tx, rx) = oneshot::channel();
-    let ticket = next_ticket(control);
-    control.tickets.borrow_mut().insert(ticket, tx);
-    step(control, Event::Propose { ticket, command: command.encode() });
+    let proposal_id = next_proposal_id(control);
+    control.unlogged_proposals.borrow_mut().insert(proposal_id, tx);
+    step(control, Event::Propose { proposal_id, command: command.encode() });
     control.timers.timeout_at(until, rx).await?.ok()
 }
--- a/crates/vaneway-server/src/core/control/links.rs
+++ b/crates/vaneway-server/src/core/control/links.rs
@@ -20,13 +20,13 @@
 use crate::core::cluster::wire::ToEntry;
 use crate::core::cluster::wire::Wanted;
 use crate::core::configuration::Version;
+use crate::core::control::dissemination;
+use crate::core::control::dissemination::Source;
+use crate::core::control::entry_updates;
 use crate::core::control::group;
-use crate::core::control::news;
-use crate::core::control::news::Source;
 use crate::core::control::peers;
 use crate::core::control::remembered;
 use crate::core::control::state::Control;
-use crate::core::control::telling;
 use crate::core::entry_incarnation::EntryIncarnation;
 use crate::util::clock;
 use crate::util::frames;
@@ -44,17 +44,17 @@
     pub start: EntryIncarnation,
     pub(super) outgoing: SendQueue,
     /// What it wants to be told of the others.
-    pub(super) wanted: Cell<Wanted>,
+    pub(super) subscription: Cell<Wanted>,
     /// Its number among the entry boxes as it was told last, if it wants to know.
     pub(super) box_number: Cell<Option<BoxNumber>>,
     /// Version of the configuration that it had when it connected.
-    had: Version,
-    configurations: Cell<Configurations>,
+    initial_version: Version,
+    configuration_delivery: Cell<ConfigurationDelivery>,
 }
 
 /// How an entry box gets configurations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Configurations {
+enum ConfigurationDelivery {
     /// It has not said yet.
     Unknown,
     /// It is told the version and asks.
@@ -65,8 +65,8 @@
 
 impl EntryLink {
     /// What it is told of the others.
-    pub fn wanted(&self) -> Wanted {
-        self.wanted.get()
+    pub fn subscription(&self) -> Wanted {
+        self.subscription.get()
     }
 }
 
@@ -79,23 +79,23 @@
 }
 
 /// Sends a message to the entry boxes that this box tells of loads.
-pub(super) fn send_to_those_told_of_loads(control: &Control, message: &ToEntry) {
+pub(super) fn send_to_load_subscribers(control: &Control, message: &ToEntry) {
     let message = EncodedFrame::new(message);
-    for entry in control.entries.borrow().values().filter(|entry| entry.wanted.get().loads) {
+    for entry in control.entries.borrow().values().filter(|entry| entry.subscription.get().loads) {
         entry.outgoing.send_encoded(&message);
     }
 }
 
 /// Offers a version of the configuration to the entry boxes that ask for it themselves, and sends it to the others.
-pub(super) fn spread_configuration(control: &Control, version: Version) {
+pub(super) fn publish_configuration(control: &Control, version: Version) {
     let offer = EncodedFrame::new(&ToEntry::ConfigurationAgreed { version });
     for entry in control.entries.borrow().values() {
-        match entry.configurations.get() {
-            Configurations::Offered => {
+        match entry.configuration_delivery.get() {
+            ConfigurationDelivery::Offered => {
                 entry.outgoing.send_newest(CONFIGURATION_VERSION_TOPIC, &offer)
             }
-            Configurations::Sent => send_configuration(control, entry, 0),
-            Configurations::Unknown => {}
+            ConfigurationDelivery::Sent => send_configuration(control, entry, 0),
+            ConfigurationDelivery::Unknown => {}
         }
     }
 }
@@ -103,16 +103,18 @@
 /// Sends an entry box the configuration, or how it differs from the version that it has.
 fn send_configuration(control: &Control, entry: &EntryLink, have: Version) {
     let machine = control.machine.borrow();
-    let Some(held) = machine.held().filter(|held| held.configuration.version > have) else {
+    let Some(current) =
+        machine.current_configuration().filter(|current| current.configuration.version > have)
+    else {
         return;
     };
-    let answer = control.changes.borrow_mut().answer(&held.configuration, have);
+    let answer = control.changes.borrow_mut().update_since(&current.configuration, have);
     entry.outgoing.send_newest(CONFIGURATION_TOPIC, &answer);
 }
 
 /// Offers the configuration that is agreed on from now on to an entry box, which asks for it.
 fn offer_configurations(control: &Control, entry: &EntryLink) {
-    entry.configurations.set(Configurations::Offered);
+    entry.configuration_delivery.set(ConfigurationDelivery::Offered);
     let version = control.machine.borrow().version();
     if version > 0 {
         let offer = EncodedFrame::new(&ToEntry::ConfigurationAgreed { version });
@@ -137,7 +139,7 @@
 }
 
 async fn serve(control: Rc<Control>, stream: SocketStream) {
-    let outgoing = SendQueue::new(&control.held);
+    let outgoing = SendQueue::new(&control.buffered);
     let mut sender = Sender::Unknown;
     let on_frame = async |frame: &[u8]| {
         // Entry boxes are many and can wait; other control boxes can't.
@@ -145,13 +147,13 @@
             control.turns.next().await;
         }
         let Some(message) = frames::decode::<ToControl>(frame) else {
-            control.unreadable.update(|count| count + 1);
+            control.unreadable_messages.update(|count| count + 1);
             return;
         };
         if matches!(message, ToControl::Entry(FromEntry::Hello { .. })) {
             control.turns.next().await;
         }
-        received(&control, &outgoing, &mut sender, message);
+        handle_message(&control, &outgoing, &mut sender, message);
     };
     let silence = IdleTimeouts { host: HOST_SILENCE_TIMEOUT, process: PROCESS_SILENCE_TIMEOUT };
     let why = frames::drive(&control.timers, &stream, &outgoing, silence, on_frame).await;
@@ -165,19 +167,24 @@
     }
 }
 
-fn received(control: &Rc<Control>, outgoing: &SendQueue, sender: &mut Sender, message: ToControl) {
+fn handle_message(
+    control: &Rc<Control>,
+    outgoing: &SendQueue,
+    sender: &mut Sender,
+    message: ToControl,
+) {
     match message {
         ToControl::Entry(FromEntry::Hello { name, boot, configuration, known }) => {
-            control.entries_told.update(|told| told.max(known));
-            *sender = welcome(control, outgoing, (name, boot), configuration);
+            control.reported_entry_count.update(|told| told.max(known));
+            *sender = admit_entry(control, outgoing, (name, boot), configuration);
         }
         ToControl::Entry(FromEntry::Ping { sent_us }) => {
             if let Some(entry) = entry_of(control, sender)
-                && entry.configurations.get() == Configurations::Unknown
+                && entry.configuration_delivery.get() == ConfigurationDelivery::Unknown
             {
-                entry.configurations.set(Configurations::Sent);
+                entry.configuration_delivery.set(ConfigurationDelivery::Sent);
                 // It can't read how a configuration differs from the one that it has.
-                if control.machine.borrow().version() > entry.had {
+                if control.machine.borrow().version() > entry.initial_version {
                     send_configuration(control, &entry, 0);
                 }
             }
@@ -186,7 +193,7 @@
             outgoing.send(&ToEntry::Pong { sent_us, time_us });
         }
         ToControl::Entry(FromEntry::Leaving(reports)) => {
-            news::learn_endpoints(control, &reports, Source::Entry);
+            dissemination::merge_endpoints(control, &reports, Source::Entry);
         }
         ToControl::Entry(FromEntry::Usage(report)) => {
             if let Sender::Entry { start, .. } = sender {
@@ -203,10 +210,10 @@
             control.parts.borrow_mut().record(clock::now(), &parts);
         }
         ToControl::Entry(FromEntry::QuarantineRecords(findings)) => {
-            news::learn_findings(control, &findings, Source::Entry);
+            dissemination::merge_quarantine_records(control, &findings, Source::Entry);
         }
         ToControl::Entry(FromEntry::Limits(told)) => {
-            news::learn_limits(control, &told, Source::Entry);
+            dissemination::merge_limits(control, &told, Source::Entry);
         }
         ToControl::Entry(FromEntry::OfferConfigurations) => {
             if let Some(entry) = entry_of(control, sender) {
@@ -224,13 +231,13 @@
                 Line::new("entry_done").with("entry", &start.0).with("boot", start.1).info();
             }
         }
-        ToControl::Entry(FromEntry::Subscribe(wanted)) => {
+        ToControl::Entry(FromEntry::Subscribe(subscription)) => {
             if let Sender::Entry { link, .. } = sender {
-                telling::tell_from_now_on(control, *link, wanted);
+                entry_updates::subscribe(control, *link, subscription);
             }
         }
         ToControl::Control(message) => {
-            from_control(control, outgoing, sender, message);
+            handle_control_message(control, outgoing, sender, message);
         }
     }
 }
@@ -241,12 +248,12 @@
     control.entries.borrow().get(link).cloned()
 }
 
-/// Takes an entry box in and tells it all that it must know; it has the version `had` of the configuration.
-fn welcome(
+/// Takes an entry box in and tells it all that it must know; it has the version `initial_version` of the configuration.
+fn admit_entry(
     control: &Control,
     outgoing: &SendQueue,
     start: EntryIncarnation,
-    had: Version,
+    initial_version: Version,
 ) -> Sender {
     control.next_link.update(|link| link + 1);
     let link = control.next_link.get();
@@ -256,18 +263,18 @@
     outgoing.send(&ToEntry::ControlBoxes(control_boxes(control)));
     let reports = control.registry.borrow().reports(clock::now());
     outgoing.send(&ToEntry::Registry(reports));
-    if let Some(left) = remembered::left(control) {
+    if let Some(remaining) = remembered::remaining(control) {
         let endpoints = control.remembered.borrow().clone();
-        outgoing.send(&ToEntry::Remembered { endpoints, left_ms: left.as_millis() as u64 });
+        outgoing.send(&ToEntry::Remembered { endpoints, left_ms: remaining.as_millis() as u64 });
     }
-    let wanted = Cell::default();
+    let subscription = Cell::default();
     let entry = EntryLink {
         start: start.clone(),
         outgoing: outgoing.clone(),
-        wanted,
+        subscription,
         box_number: Cell::default(),
-        had,
-        configurations: Cell::new(Configurations::Unknown),
+        initial_version,
+        configuration_delivery: Cell::new(ConfigurationDelivery::Unknown),
     };
     control.entries.borrow_mut().insert(link, Rc::new(entry));
     Sender::Entry { link, start }
@@ -282,7 +289,7 @@
     boxes.into_iter().collect()
 }
 
-fn from_control(
+fn handle_control_message(
     control: &Rc<Control>,
     outgoing: &SendQueue,
     sender: &mut Sender,
@@ -291,13 +298,13 @@
     if let BetweenControl::Hello { node } = message {
         *sender = Sender::Control { node };
         // What the peer missed while there was no connection.
-        for message in news::all_for_control(control) {
+        for message in dissemination::full_state(control) {
             outgoing.send(&message);
         }
         return;
     }
     let Sender::Control { node } = *sender else {
-        control.unreadable.update(|count| count + 1);
+        control.unreadable_messages.update(|count| count + 1);
         return;
     };
     match message {
@@ -305,9 +312,9 @@
         BetweenControl::Ping { time_us, kept_us } => {
             let now = clock::now();
             let mut clock = control.clock.borrow_mut();
-            clock.learn(now, node, Duration::from_micros(time_us));
+            clock.record_peer_time(now, node, Duration::from_micros(time_us));
             if let Some(kept) = kept_us {
-                clock.learn_kept(now, node, Duration::from_micros(kept));
+                clock.record_peer_cluster_time(now, node, Duration::from_micros(kept));
             }
             drop(clock);
             outgoing.send(&peers::ping(control));
@@ -317,7 +324,9 @@
                 group::step(control, Event::Message { from: node, message });
             }
         }
-        BetweenControl::Join { node: joining } => group::learn_joining(control, node, joining),
-        message => news::learn_from_control(control, message),
+        BetweenControl::Join { node: joining } => {
+            group::record_join_request(control, node, joining)
+        }
+        message => dissemination::merge_from_control(control, message),
     }
 }
--- a/crates/vaneway-server/src/core/control/membership.rs
+++ b/crates/vaneway-server/src/core/control/membership.rs
@@ -17,20 +17,20 @@
 use vaneway_agreement::NodeId;
 
 /// Silence after which a voter that was replaced is taken out.
-const REPLACED_SILENCE: Duration = Duration::from_secs(3);
+const REPLACED_VOTER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Silence after which a voter is taken out if the others are enough.
-const LONG_SILENCE: Duration = Duration::from_secs(20);
+const VOTER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Silence after which a learner is taken out.
-const LEARNER_SILENCE: Duration = Duration::from_secs(10);
+const LEARNER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Voters that must be there besides one that is taken out: they bear the loss of one more.
-const LIVE_LEAST: usize = 3;
+const MIN_LIVE_VOTERS: usize = 3;
 
 /// What the leader knows of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct MemberView {
+pub struct MemberStatus {
     /// Its node.
     pub node: NodeId,
     /// Whether it votes.
@@ -38,23 +38,23 @@
     /// Whether it has everything that is committed.
     pub caught_up: bool,
     /// Time since it last answered.
-    pub silent: Duration,
+    pub unresponsive_for: Duration,
 }
 
 /// Time for which a member that answers regularly may be silent.
-const ANSWERS_WITHIN: Duration = Duration::from_millis(1_200);
+const MAX_REPLY_AGE: Duration = Duration::from_millis(1_200);
 
 /// The next change that the leader should make, if any.
 pub fn next_change(
     leader: NodeId,
-    members: &[MemberView],
+    members: &[MemberStatus],
     joining: &[NodeId],
 ) -> Option<MemberChange> {
     let is_member = |node: NodeId| members.iter().any(|member| member.node == node);
     if let Some(node) = joining.iter().find(|node| !is_member(**node)) {
         return Some(MemberChange::AddLearner(*node));
     }
-    let ready = |m: &&MemberView| !m.voter && m.caught_up && m.silent < ANSWERS_WITHIN;
+    let ready = |m: &&MemberStatus| !m.voter && m.caught_up && m.unresponsive_for < MAX_REPLY_AGE;
     if let Some(member) = members.iter().find(ready) {
         return Some(MemberChange::Promote(member.node));
     }
@@ -64,23 +64,23 @@
         .map(|member| MemberChange::Remove(member.node))
 }
 
-fn is_gone(member: &MemberView, members: &[MemberView]) -> bool {
+fn is_gone(member: &MemberStatus, members: &[MemberStatus]) -> bool {
     if !member.voter {
-        return member.silent > LEARNER_SILENCE;
+        return member.unresponsive_for > LEARNER_TIMEOUT;
     }
-    let succeeded = |other: &MemberView| {
+    let is_successor = |other: &MemberStatus| {
         other.voter
             && other.node != member.node
             && address_bits(other.node) == address_bits(member.node)
-            && other.silent < ANSWERS_WITHIN
+            && other.unresponsive_for < MAX_REPLY_AGE
     };
-    if members.iter().any(succeeded) && member.silent > ANSWERS_WITHIN {
+    if members.iter().any(is_successor) && member.unresponsive_for > MAX_REPLY_AGE {
         return true;
     }
     let voters = members.iter().filter(|member| member.voter).count();
-    let live = members.iter().filter(|m| m.voter && m.silent < ANSWERS_WITHIN).count();
-    let replaced = voters.is_multiple_of(2) && member.silent > REPLACED_SILENCE;
-    live >= LIVE_LEAST && (replaced || member.silent > LONG_SILENCE)
+    let live = members.iter().filter(|m| m.voter && m.unresponsive_for < MAX_REPLY_AGE).count();
+    let replaced = voters.is_multiple_of(2) && member.unresponsive_for > REPLACED_VOTER_TIMEOUT;
+    live >= MIN_LIVE_VOTERS && (replaced || member.unresponsive_for > VOTER_TIMEOUT)
 }
 
 /// Part of a node id that holds the box's address; see [`super::state::node_id`].
--- a/crates/vaneway-server/src/core/control/memory.rs
+++ b/crates/vaneway-server/src/core/control/memory.rs
@@ -3,7 +3,7 @@
 //!
 //! These are what grows when others are slower than this box; all else grows with the deployment. What waits for one box has a
 //! bound ([`send_queue`](crate::util::send_queue)); while the disk is behind nothing is added to what it must write
-//! ([`without_writes`]).
+//! ([`strip_writes`]).
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,22 +16,22 @@
 use crate::util::logline::Line;
 
 /// Time between two looks at what waits.
-const WATCH_EVERY: Duration = Duration::from_millis(500);
+const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Bytes from which on what waits is logged.
-const LOGGED_FROM: usize = 16 << 20;
+const LOG_THRESHOLD_BYTES: usize = 16 << 20;
 
 /// Bytes that wait for the disk up to which more is written.
-const UNWRITTEN_MOST: usize = 32 << 20;
+const MAX_UNWRITTEN_BYTES: usize = 32 << 20;
 
 /// Whether the disk is so far behind that nothing may be added to what it must write.
 pub(super) fn is_disk_behind(control: &Control) -> bool {
-    control.unwritten.get() > UNWRITTEN_MOST
+    control.unwritten.get() > MAX_UNWRITTEN_BYTES
 }
 
 /// What is left of an event if nothing may be written: entries count as lost on the way, and are sent again; the sign of
 /// life that comes with them counts. None if nothing is left.
-pub fn without_writes(event: Event) -> Option<Event> {
+pub fn strip_writes(event: Event) -> Option<Event> {
     match event {
         Event::Message { from, message: Message::Append(mut append) } => {
             append.entries.clear();
@@ -44,7 +44,7 @@
 
 /// Bytes that a control box holds, by what they wait for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Waiting {
+struct WaitingBytes {
     /// For entry boxes to take them.
     entries: usize,
     /// For other control boxes to take them.
@@ -57,14 +57,14 @@
     log: usize,
 }
 
-impl Waiting {
+impl WaitingBytes {
     fn of(control: &Control) -> Self {
         let entries = control.entries.borrow();
         let entries = entries.values().map(|link| link.outgoing.queued_bytes()).sum();
         Self {
             entries,
-            peers: control.held.queued() - entries,
-            arriving: control.held.partial(),
+            peers: control.buffered.queued() - entries,
+            arriving: control.buffered.partial(),
             unwritten: control.unwritten.get(),
             log: store::command_bytes(control.node.borrow().log().entries()),
         }
@@ -79,10 +79,10 @@
 /// Logs what waits and what was passed on while it is much, until dropped.
 pub async fn watch(control: Rc<Control>) {
     loop {
-        control.timers.sleep(WATCH_EVERY).await;
-        control.passed_on.look();
-        let waiting = Waiting::of(&control);
-        if waiting.sum() < LOGGED_FROM {
+        control.timers.sleep(WATCH_INTERVAL).await;
+        control.forwarded.log_if_many();
+        let waiting = WaitingBytes::of(&control);
+        if waiting.sum() < LOG_THRESHOLD_BYTES {
             continue;
         }
         Line::new("memory_waiting")
--- a/crates/vaneway-server/src/core/control/native.rs
+++ b/crates/vaneway-server/src/core/control/native.rs
@@ -28,7 +28,7 @@
 use crate::core::callers::answer::json_response;
 use crate::core::cluster_time::Window;
 use crate::core::configuration::Configuration;
-use crate::core::control::machine::Held;
+use crate::core::control::machine::ConfigurationDocument;
 use crate::core::control::operations;
 use crate::core::control::operations::Refusal;
 use crate::core::control::protocol::CloudProtocol;
@@ -105,7 +105,9 @@
         };
         let version = configuration.version;
         let document = String::from_utf8_lossy(body).into_owned();
-        match operations::configure(control, Held { configuration, document }).await {
+        match operations::configure(control, ConfigurationDocument { configuration, document })
+            .await
+        {
             Ok(()) => json_response(
                 StatusCode::OK,
                 Bytes::from(json!({ "accepted": version }).to_string()),
@@ -116,7 +118,9 @@
 
     fn get(self, control: &Control) -> Response<ResponseBody> {
         match operations::newest_configuration(control) {
-            Ok(Some(held)) => json_response(StatusCode::OK, Bytes::from(held.document.clone())),
+            Ok(Some(current)) => {
+                json_response(StatusCode::OK, Bytes::from(current.document.clone()))
+            }
             Ok(None) => failed(StatusCode::NOT_FOUND, "there is no configuration yet"),
             Err(refusal) => self.refused(control, &refusal),
         }
@@ -126,7 +130,7 @@
 fn endpoint(control: &Control, body: &[u8]) -> Response<ResponseBody> {
     match serde_json::from_slice::<Report>(body) {
         Ok(report) => {
-            operations::endpoint_reported(control, &report);
+            operations::record_endpoint_report(control, &report);
             json_response(StatusCode::OK, Bytes::from_static(b"{}"))
         }
         Err(error) => failed(StatusCode::BAD_REQUEST, &error.to_string()),
--- a/crates/vaneway-server/src/core/control/operations.rs
+++ b/crates/vaneway-server/src/core/control/operations.rs
@@ -8,13 +8,13 @@
 use vaneway_registry::Report;
 
 use crate::core::configuration;
+use crate::core::control::dissemination;
+use crate::core::control::dissemination::Source;
 use crate::core::control::group;
 use crate::core::control::machine::Command;
-use crate::core::control::machine::Held;
-use crate::core::control::news;
-use crate::core::control::news::Source;
+use crate::core::control::machine::ConfigurationDocument;
 use crate::core::control::state::Control;
-use crate::core::control::state::Proposed;
+use crate::core::control::state::ProposalOutcome;
 use crate::util::clock;
 use crate::util::findings::Finding;
 use crate::util::findings::Findings;
@@ -22,7 +22,7 @@
 
 /// How long an operator's change waits for its commitment: less than operators wait for an
 /// answer.
-const COMMIT_WITHIN: Duration = Duration::from_millis(850);
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(850);
 
 /// Why an operation was not carried out.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -44,25 +44,28 @@
 /// # Errors
 ///
 /// [`Refusal`] says why not.
-pub async fn configure(control: &Rc<Control>, held: Held) -> Result<(), Refusal> {
+pub async fn configure(
+    control: &Rc<Control>,
+    proposed: ConfigurationDocument,
+) -> Result<(), Refusal> {
     let findings = Findings::new();
-    configuration::check(&held.configuration, &findings);
+    configuration::check(&proposed.configuration, &findings);
     let findings = findings.take();
     if !findings.is_empty() {
         return Err(Refusal::Invalid(findings));
     }
     require_leader(control, "configure")?;
-    let version = held.configuration.version;
-    if control.leads_surely() && control.machine.borrow().version() >= version {
+    let version = proposed.configuration.version;
+    if control.has_valid_lease() && control.machine.borrow().version() >= version {
         return Ok(());
     }
-    let until = clock::now() + COMMIT_WITHIN;
-    let command = Command::Configure(held);
+    let until = clock::now() + COMMIT_TIMEOUT;
+    let command = Command::Configure(proposed);
     let proposed = group::propose(control, &command, until).await;
     Line::new("configure").with("version", version).with("became", format!("{proposed:?}")).info();
     match proposed {
-        Some(Proposed::Committed) => Ok(()),
-        Some(Proposed::NotTaken) | None => Err(Refusal::Unavailable),
+        Some(ProposalOutcome::Committed) => Ok(()),
+        Some(ProposalOutcome::NotTaken) | None => Err(Refusal::Unavailable),
     }
 }
 
@@ -71,13 +74,15 @@
 /// # Errors
 ///
 /// [`Refusal`] if this box can't be sure.
-pub fn newest_configuration(control: &Control) -> Result<Option<Rc<Held>>, Refusal> {
+pub fn newest_configuration(
+    control: &Control,
+) -> Result<Option<Rc<ConfigurationDocument>>, Refusal> {
     require_leader(control, "read")?;
-    if !control.leads_surely() {
+    if !control.has_valid_lease() {
         log_refused(control, "read", "no quorum answered within the lease");
         return Err(Refusal::Unavailable);
     }
-    Ok(control.machine.borrow().held().cloned())
+    Ok(control.machine.borrow().current_configuration().cloned())
 }
 
 /// Logs why an operator's call was refused, where the reason is not in what was sent.
@@ -89,7 +94,7 @@
         .with("role", format!("{:?}", node.role()))
         .with("term", node.term())
         .with("committed", node.committed())
-        .with("led_ms_ago", clock::elapsed(control.led_at.get()).as_millis())
+        .with("led_ms_ago", clock::elapsed(control.last_leader_at.get()).as_millis())
         .info();
 }
 
@@ -109,6 +114,6 @@
 }
 
 /// Takes in what an endpoint says of itself.
-pub fn endpoint_reported(control: &Control, report: &Report) {
-    news::learn_endpoints(control, std::slice::from_ref(report), Source::Endpoint);
+pub fn record_endpoint_report(control: &Control, report: &Report) {
+    dissemination::merge_endpoints(control, std::slice::from_ref(report), Source::Endpoint);
 }
--- a/crates/vaneway-server/src/core/control/peers.rs
+++ b/crates/vaneway-server/src/core/control/peers.rs
@@ -21,8 +21,8 @@
 use crate::core::cluster::wire::PING_INTERVAL;
 use crate::core::cluster::wire::SNAPSHOT_TOPIC;
 use crate::core::cluster::wire::ToControl;
+use crate::core::control::dissemination;
 use crate::core::control::links;
-use crate::core::control::news;
 use crate::core::control::state::Control;
 use crate::util::clock;
 use crate::util::frames;
@@ -35,10 +35,10 @@
 use crate::util::socket::SocketStream;
 
 /// Time between two looks at which control boxes to be connected with.
-const PEERS_EVERY: Duration = Duration::from_millis(300);
+const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Time between two reports to other control boxes of endpoints that are merely still there.
-const REFRESH_EVERY: Duration = Duration::from_millis(500);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A connection to another control box, opened again whenever it breaks.
 #[derive(Debug, Default)]
@@ -53,7 +53,7 @@
     let address = control.cluster_address(node);
     let topic = topic(&message);
     if let Some(peer) = control.peers.borrow().get(&address) {
-        peer.send_on(topic, &EncodedFrame::new(&ToControl::Control(message)));
+        peer.send_with_topic(topic, &EncodedFrame::new(&ToControl::Control(message)));
     }
 }
 
@@ -82,10 +82,10 @@
 
 impl PeerLink {
     fn send(&self, message: &EncodedFrame) {
-        self.send_on(None, message);
+        self.send_with_topic(None, message);
     }
 
-    fn send_on(&self, topic: Option<Topic>, message: &EncodedFrame) {
+    fn send_with_topic(&self, topic: Option<Topic>, message: &EncodedFrame) {
         match (&*self.outgoing.borrow(), topic) {
             (Some(outgoing), Some(topic)) => outgoing.send_newest(topic, message),
             (Some(outgoing), None) => outgoing.send_encoded(message),
@@ -95,10 +95,10 @@
 }
 
 pub(super) fn ping(control: &Control) -> BetweenControl {
-    let kept = control.clock.borrow().kept(clock::now());
+    let established = control.clock.borrow().established_time(clock::now());
     BetweenControl::Ping {
         time_us: clock::since_epoch().as_micros() as u64,
-        kept_us: kept.map(|kept| kept.as_micros() as u64),
+        kept_us: established.map(|established| established.as_micros() as u64),
     }
 }
 
@@ -123,7 +123,7 @@
         }
         // Whoever is left out ends its connection by itself.
         control.peers.borrow_mut().retain(|address, _| wanted.contains(address));
-        control.timers.sleep(PEERS_EVERY).await;
+        control.timers.sleep(PEER_CHECK_INTERVAL).await;
     }
 }
 
@@ -135,18 +135,18 @@
 }
 
 async fn run_peer(control: &Rc<Control>, address: SocketAddr, stream: SocketStream) {
-    let outgoing = SendQueue::new(&control.held);
+    let outgoing = SendQueue::new(&control.buffered);
     let send = |message: BetweenControl| outgoing.send(&ToControl::Control(message));
     send(BetweenControl::Hello { node: control.node.borrow().id() });
     send(ping(control));
-    news::all_for_control(control).into_iter().for_each(send);
+    dissemination::full_state(control).into_iter().for_each(send);
     if let Some(peer) = control.peers.borrow().get(&address) {
         *peer.outgoing.borrow_mut() = Some(outgoing.clone());
     }
     Line::new("peer_connected").with("address", address).info();
     let on_frame = async |frame: &[u8]| match frames::decode::<BetweenControl>(frame) {
-        Some(message) => news::learn_from_control(control, message),
-        None => control.unreadable.update(|count| count + 1),
+        Some(message) => dissemination::merge_from_control(control, message),
+        None => control.unreadable_messages.update(|count| count + 1),
     };
     let silence = IdleTimeouts { host: HOST_SILENCE_TIMEOUT, process: HOST_SILENCE_TIMEOUT };
     let why = frames::drive(&control.timers, &stream, &outgoing, silence, on_frame).await;
@@ -158,12 +158,12 @@
 
 /// Lateness of the loop, and of turns, from which on it is logged: half of the shortest time in which a leader
 /// must be heard.
-const BUSY_FROM: Duration = Duration::from_millis(250);
+const BUSY_THRESHOLD: Duration = Duration::from_millis(250);
 
 /// Logs that this box has more to do than time: the loop is `late`, or entry boxes wait long for turns.
 fn log_if_busy(control: &Control, late: Duration) {
     let turn_waited = control.turns.take_longest_wait();
-    if late.max(turn_waited) < BUSY_FROM {
+    if late.max(turn_waited) < BUSY_THRESHOLD {
         return;
     }
     Line::new("busy")
@@ -183,12 +183,12 @@
         control.timers.sleep_until(due).await;
         log_if_busy(&control, clock::elapsed(due));
         send_to_all(&control, ping(&control));
-        let count = control.unreadable.get();
+        let count = control.unreadable_messages.get();
         if count > unreadable {
             Line::new("messages_unreadable").with("since_start", count).warn();
             unreadable = count;
         }
-        if clock::elapsed(refreshed_at) < REFRESH_EVERY {
+        if clock::elapsed(refreshed_at) < REFRESH_INTERVAL {
             continue;
         }
         refreshed_at = clock::now();
--- a/crates/vaneway-server/src/core/control/protocol.rs
+++ b/crates/vaneway-server/src/core/control/protocol.rs
@@ -21,11 +21,11 @@
 use crate::util::body::ResponseBody;
 
 /// Largest body of a call: above the largest configuration that operators send.
-const BODY_BYTES_MOST: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// Reads the body of a call; none if it is too long or breaks off.
 pub async fn read_body(body: Incoming) -> Option<Bytes> {
-    Limited::new(body, BODY_BYTES_MOST).collect().await.ok().map(Collected::to_bytes)
+    Limited::new(body, MAX_BODY_BYTES).collect().await.ok().map(Collected::to_bytes)
 }
 
 /// What endpoints and operators speak.
--- a/crates/vaneway-server/src/core/control/remembered.rs
+++ b/crates/vaneway-server/src/core/control/remembered.rs
@@ -24,8 +24,8 @@
 use vaneway_registry::Lifecycle;
 use vaneway_registry::Report;
 
+use crate::core::control::entry_updates;
 use crate::core::control::state::Control;
-use crate::core::control::telling;
 use crate::util::clock;
 use crate::util::durable_file;
 use crate::util::logline::Line;
@@ -34,14 +34,14 @@
 const FILE_NAME: &str = "endpoints.log";
 
 /// Time between two looks whether the file must be written anew.
-const WRITE_EVERY: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Pause after a write that failed.
-const RETRY_AFTER: Duration = Duration::from_secs(3);
+const RETRY_DELAY: Duration = Duration::from_secs(3);
 
 /// Age from which on the file says nothing of the present. It is measured by the box's time of
 /// day, which may be wrong by seconds.
-const AGE_MOST: Duration = Duration::from_mins(1);
+const MAX_FILE_AGE: Duration = Duration::from_mins(1);
 
 /// The file's only record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -86,33 +86,36 @@
     let record = recovered.records.first().ok_or("the file has no whole record")?;
     let record: Record = postcard::from_bytes(record).map_err(|error| error.to_string())?;
     let age = clock::since_epoch().abs_diff(record.written);
-    if age > AGE_MOST {
+    if age > MAX_FILE_AGE {
         return Err(format!("the file was written {} s ago", age.as_secs()));
     }
     Ok(Remembered { endpoints: record.endpoints, entries: record.entries })
 }
 
 /// How long remembered endpoints still count; none if they do no more.
-pub(super) fn left(control: &Control) -> Option<Duration> {
-    let left = control.settings.restored_retention.checked_sub(clock::elapsed(control.started));
-    left.filter(|left| !left.is_zero())
+pub(super) fn remaining(control: &Control) -> Option<Duration> {
+    let remaining =
+        control.settings.restored_retention.checked_sub(clock::elapsed(control.started));
+    remaining.filter(|remaining| !remaining.is_zero())
 }
 
 /// Writes the endpoints that are ready whenever they have changed, until dropped.
-pub(super) async fn keep(control: Rc<Control>) {
+pub(super) async fn write_changes(control: Rc<Control>) {
     let mut written = None;
     loop {
-        control.timers.sleep(WRITE_EVERY).await;
-        if left(&control).is_some() {
+        control.timers.sleep(CHECK_INTERVAL).await;
+        if remaining(&control).is_some() {
             // What was there before is worth more than what has been heard of until now.
             continue;
         }
-        let endpoints = ready(&control);
-        let entries = telling::sharers(&control).known;
-        let stands = |(known, known_entries, at): &(Vec<Report>, u32, Instant)| {
-            *known == endpoints && *known_entries >= entries && clock::elapsed(*at) < AGE_MOST / 2
+        let endpoints = ready_endpoints(&control);
+        let entries = entry_updates::sharers(&control).known;
+        let is_current = |(known, known_entries, at): &(Vec<Report>, u32, Instant)| {
+            *known == endpoints
+                && *known_entries >= entries
+                && clock::elapsed(*at) < MAX_FILE_AGE / 2
         };
-        if written.as_ref().is_some_and(stands) {
+        if written.as_ref().is_some_and(is_current) {
             continue;
         }
         match write(&control, endpoints.clone(), entries).await {
@@ -125,14 +128,14 @@
             }
             Err(error) => {
                 Line::new("endpoints_not_written").with("error", error).warn();
-                control.timers.sleep(RETRY_AFTER).await;
+                control.timers.sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// The endpoints that are ready, without what changes with every heartbeat.
-fn ready(control: &Control) -> Vec<Report> {
+fn ready_endpoints(control: &Control) -> Vec<Report> {
     let mut endpoints = control.registry.borrow().reports(clock::now());
     endpoints.retain(|report| report.lifecycle == Lifecycle::Ready && report.details.is_some());
     for report in &mut endpoints {
--- a/crates/vaneway-server/src/core/control/running.rs
+++ b/crates/vaneway-server/src/core/control/running.rs
@@ -20,13 +20,14 @@
 use vaneway_agreement::Node;
 use vaneway_agreement::NodeId;
 
+use crate::core::control::dissemination::ForwardedCounts;
 use crate::core::control::duties;
+use crate::core::control::entry_updates;
 use crate::core::control::group;
 use crate::core::control::links;
-use crate::core::control::machine::Machine;
+use crate::core::control::machine::StateMachine;
 use crate::core::control::memory;
 use crate::core::control::native::NativeControl;
-use crate::core::control::news::PassedOn;
 use crate::core::control::peers;
 use crate::core::control::protocol::CloudProtocol;
 use crate::core::control::protocol::ControlProtocol;
@@ -37,7 +38,6 @@
 use crate::core::control::state::node_id;
 use crate::core::control::store;
 use crate::core::control::store::Write;
-use crate::core::control::telling;
 use crate::core::endpoints::upstream::ConnectionPool;
 use crate::core::settings::ControlSettings;
 use crate::util::body::ResponseBody;
@@ -53,10 +53,10 @@
 use crate::util::turns::Turns;
 
 /// Largest head of a call.
-const HEADER_BYTES: usize = 16 << 10;
+const MAX_HEADER_BYTES: usize = 16 << 10;
 
 /// How long a planned stop lets calls finish.
-const FINISH_WITHIN: Duration = Duration::from_millis(1_200);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// A running control box.
 #[derive(Debug)]
@@ -78,7 +78,7 @@
     }
 
     fn limits(&self) -> ConnectionLimits {
-        ConnectionLimits::for_internal_calls(HEADER_BYTES)
+        ConnectionLimits::for_internal_calls(MAX_HEADER_BYTES)
     }
 }
 
@@ -99,23 +99,25 @@
     let node = stored.node;
     let config = Config {
         id: node,
-        heartbeat: group::HEARTBEAT,
-        election: group::ELECTION,
-        drift_per_mille: group::DRIFT_PER_MILLE,
+        heartbeat_interval: group::HEARTBEAT_INTERVAL,
+        election_timeout: group::ELECTION_TIMEOUT,
+        max_drift_per_mille: group::MAX_DRIFT_PER_MILLE,
         seed: boot ^ node,
     };
     let mut machine = match &stored.durable.snapshot {
-        Some(snapshot) => Machine::decode(&snapshot.data).wrap_err("the snapshot can't be read")?,
-        None => Machine::default(),
+        Some(snapshot) => {
+            StateMachine::decode(&snapshot.data).wrap_err("the snapshot can't be read")?
+        }
+        None => StateMachine::default(),
     };
-    group::apply_committed(&mut machine, &stored.durable.entries, stored.committed);
+    group::replay_committed(&mut machine, &stored.durable.entries, stored.committed);
     // Bounded in bytes where it is filled: nothing is added while the disk is far behind.
     let (persist, queue) = mpsc::unbounded();
     let agreement = Node::start(config, stored.durable, clock::now());
     let control = Rc::new(state(settings, timers.clone(), persist, agreement, machine));
     let Remembered { endpoints, entries } = remembered::load(&control);
     control.remembered.replace(endpoints);
-    control.entries_told.set(entries);
+    control.reported_entry_count.set(entries);
     let persisted = Rc::clone(&control);
     let durable = move |number| group::step(&persisted, Event::Persisted { number });
     let theirs = Rc::clone(&control);
@@ -142,11 +144,11 @@
         task::spawn_until_dropped(peers::keep_peers(Rc::clone(&control))),
         task::spawn_until_dropped(peers::ping_peers(Rc::clone(&control))),
         task::spawn_until_dropped(memory::watch(Rc::clone(&control))),
-        task::spawn_until_dropped(telling::tell_entries(Rc::clone(&control))),
-        task::spawn_until_dropped(telling::tell_loads(Rc::clone(&control))),
+        task::spawn_until_dropped(entry_updates::publish_usage(Rc::clone(&control))),
+        task::spawn_until_dropped(entry_updates::publish_loads(Rc::clone(&control))),
         task::spawn_until_dropped(group::run_timers(Rc::clone(&control))),
         task::spawn_until_dropped(group::maintain(Rc::clone(&control))),
-        task::spawn_until_dropped(remembered::keep(Rc::clone(&control))),
+        task::spawn_until_dropped(remembered::write_changes(Rc::clone(&control))),
         task::spawn_until_dropped(duties::run(Rc::clone(&control), cloud)),
     ];
     Line::new("started")
@@ -166,7 +168,7 @@
     timers: Timers,
     persist: mpsc::UnboundedSender<Write>,
     node: Node,
-    machine: Machine,
+    machine: StateMachine,
 ) -> Control {
     let now = clock::now();
     Control {
@@ -178,29 +180,29 @@
         unwritten: Cell::new(0),
         machine: RefCell::new(machine),
         changes: RefCell::default(),
-        tickets: RefCell::default(),
-        pending: RefCell::default(),
-        next_ticket: Cell::new(0),
+        unlogged_proposals: RefCell::default(),
+        pending_proposals: RefCell::default(),
+        next_proposal_id: Cell::new(0),
         registry: RefCell::default(),
-        held: Rc::default(),
+        buffered: Rc::default(),
         entries: RefCell::default(),
-        entries_seen: RefCell::default(),
-        entries_told: Cell::new(0),
+        entries_last_seen: RefCell::default(),
+        reported_entry_count: Cell::new(0),
         next_link: Cell::new(0),
         peers: RefCell::default(),
         joining: RefCell::default(),
-        led_at: Cell::new(now),
-        leads_since: Cell::new(None),
+        last_leader_at: Cell::new(now),
+        leader_since: Cell::new(None),
         remembered: RefCell::default(),
         usage_ledger: RefCell::default(),
         parts: RefCell::default(),
         quarantine: RefCell::default(),
         limits: RefCell::default(),
         limits_for_peers: RefCell::default(),
-        passed_on: PassedOn::default(),
+        forwarded: ForwardedCounts::default(),
         clock: RefCell::default(),
         connections: ConnectionPool::reset_on_close(),
-        unreadable: Cell::new(0),
+        unreadable_messages: Cell::new(0),
         stopping: Cell::new(false),
         settings,
     }
@@ -211,7 +213,7 @@
     let own = ipv4(settings.cluster_listen);
     let seeds = settings.seeds.iter().map(|seed| ipv4(*seed));
     if settings.form_group && settings.seeds.iter().any(|seed| ipv4(*seed) == own) {
-        let members = Members::of(seeds.map(|seed| node_id(seed, FIRST_INCARNATION)));
+        let members = Members::with_voters(seeds.map(|seed| node_id(seed, FIRST_INCARNATION)));
         return (node_id(own, FIRST_INCARNATION), members);
     }
     // Any number that no earlier disk of this box had; the first ones are taken.
@@ -244,7 +246,7 @@
         control.stopping.set(true);
         Line::new("stopping").with("role", "control").info();
         servers.into_iter().for_each(HttpServer::finish);
-        control.timers.sleep(FINISH_WITHIN).await;
+        control.timers.sleep(DRAIN_TIMEOUT).await;
         drop(background);
         Line::new("stopped").with("role", "control").info();
     }
--- a/crates/vaneway-server/src/core/control/state.rs
+++ b/crates/vaneway-server/src/core/control/state.rs
@@ -18,8 +18,8 @@
 use vaneway_agreement::Index;
 use vaneway_agreement::Node;
 use vaneway_agreement::NodeId;
+use vaneway_agreement::ProposalId;
 use vaneway_agreement::Term;
-use vaneway_agreement::Ticket;
 use vaneway_limit::EndpointLimits;
 use vaneway_quarantine::Quarantine;
 use vaneway_registry::InstanceId;
@@ -30,15 +30,15 @@
 use crate::core::cluster::wire::Wanted;
 use crate::core::cluster_time::ClusterNow;
 use crate::core::cluster_time::Window;
-use crate::core::control::changes::Changes;
-use crate::core::control::clock::Clock;
+use crate::core::control::changes::ConfigurationHistory;
+use crate::core::control::clock::ClusterClock;
+use crate::core::control::dissemination::ForwardedCounts;
+use crate::core::control::entry_updates;
 use crate::core::control::links::EntryLink;
-use crate::core::control::machine::Machine;
-use crate::core::control::news::PassedOn;
+use crate::core::control::machine::StateMachine;
 use crate::core::control::peers::PeerLink;
 use crate::core::control::protocol::Holder;
 use crate::core::control::store::Write;
-use crate::core::control::telling;
 use crate::core::endpoints::upstream::ConnectionPool;
 use crate::core::settings::ControlSettings;
 use crate::core::usage::UsageLedger;
@@ -52,7 +52,7 @@
 
 /// Time after a start in which a control box has heard the cluster's time from others, if there are any:
 /// longer than its first connections take to open.
-const TIME_WITHIN: Duration = Duration::from_secs(2);
+const PEER_TIME_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The id of a node: its box's address and the incarnation of its disk. So a node can be found
 /// by its id alone, and a box whose disk was lost comes back as another node.
@@ -67,7 +67,7 @@
 
 /// What became of a proposal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Proposed {
+pub enum ProposalOutcome {
     /// It is committed and applied.
     Committed,
     /// It is in no log, or another entry took its place.
@@ -76,11 +76,11 @@
 
 /// A proposal that waits for its commitment.
 #[derive(Debug)]
-pub struct Pending {
+pub struct PendingProposal {
     /// The term in which it was proposed.
     pub term: Term,
     /// Whoever waits for it.
-    pub tx: oneshot::Sender<Proposed>,
+    pub tx: oneshot::Sender<ProposalOutcome>,
 }
 
 /// State that all tasks of a control box share.
@@ -101,33 +101,33 @@
     /// Bytes of commands and snapshots that wait for the disk.
     pub(crate) unwritten: Cell<usize>,
     /// What was agreed on, as far as this box knows.
-    pub machine: RefCell<Machine>,
+    pub machine: RefCell<StateMachine>,
     /// How it came to the configuration that is agreed on.
-    pub(crate) changes: RefCell<Changes>,
+    pub(crate) changes: RefCell<ConfigurationHistory>,
     /// Proposals that have no place in the log yet.
-    pub(crate) tickets: RefCell<BTreeMap<Ticket, oneshot::Sender<Proposed>>>,
+    pub(crate) unlogged_proposals: RefCell<BTreeMap<ProposalId, oneshot::Sender<ProposalOutcome>>>,
     /// Proposals by their place in the log.
-    pub(crate) pending: RefCell<BTreeMap<Index, Pending>>,
-    pub(crate) next_ticket: Cell<Ticket>,
+    pub(crate) pending_proposals: RefCell<BTreeMap<Index, PendingProposal>>,
+    pub(crate) next_proposal_id: Cell<ProposalId>,
     /// What endpoints told, here or at other control boxes.
     pub registry: RefCell<Registry>,
     /// What the connections between boxes hold.
-    pub(crate) held: Rc<BufferedBytes>,
+    pub(crate) buffered: Rc<BufferedBytes>,
     /// Connections of entry boxes.
     pub(crate) entries: RefCell<BTreeMap<u64, Rc<EntryLink>>>,
     /// When entry boxes were last connected, by name.
-    pub(crate) entries_seen: RefCell<BTreeMap<String, Instant>>,
+    pub(crate) entries_last_seen: RefCell<BTreeMap<String, Instant>>,
     /// Entry boxes that there may be, as this box's disk says or those that connected had last been told.
-    pub(crate) entries_told: Cell<u32>,
+    pub(crate) reported_entry_count: Cell<u32>,
     pub(crate) next_link: Cell<u64>,
     /// Connections to other control boxes.
     pub(crate) peers: RefCell<BTreeMap<SocketAddr, PeerLink>>,
     /// Nodes that asked to join, and when last.
     pub(crate) joining: RefCell<BTreeMap<NodeId, Instant>>,
     /// When this node last knew of a leader.
-    pub(crate) led_at: Cell<Instant>,
+    pub(crate) last_leader_at: Cell<Instant>,
     /// When this node began to lead.
-    pub(crate) leads_since: Cell<Option<Instant>>,
+    pub(crate) leader_since: Cell<Option<Instant>>,
     /// Endpoints that were ready before this box started, as its disk says.
     pub(crate) remembered: RefCell<Vec<Report>>,
     /// What the entry boxes told of their requests.
@@ -141,13 +141,13 @@
     /// Endpoints whose limits entry boxes told this box and the other control boxes have to hear.
     pub(crate) limits_for_peers: RefCell<BTreeSet<InstanceId>>,
     /// How much news was passed on.
-    pub(crate) passed_on: PassedOn,
+    pub(crate) forwarded: ForwardedCounts,
     /// The cluster's time.
-    pub clock: RefCell<Clock>,
+    pub clock: RefCell<ClusterClock>,
     /// Connections to the cloud.
     pub connections: ConnectionPool,
     /// Messages that could not be read.
-    pub unreadable: Cell<u64>,
+    pub unreadable_messages: Cell<u64>,
     /// Whether the box is stopping.
     pub(crate) stopping: Cell<bool>,
 }
@@ -162,8 +162,8 @@
     /// that there are no others to learn it from.
     pub fn known_time(&self) -> Option<Duration> {
         let time = self.time();
-        let kept = self.clock.borrow().kept(clock::now());
-        kept.or_else(|| (clock::elapsed(self.started) >= TIME_WITHIN).then_some(time))
+        let established = self.clock.borrow().established_time(clock::now());
+        established.or_else(|| (clock::elapsed(self.started) >= PEER_TIME_TIMEOUT).then_some(time))
     }
 
     /// Where the cluster's time stands.
@@ -188,7 +188,7 @@
 
     /// Whether this node leads and surely no other does, and it knows all that was committed
     /// before.
-    pub fn leads_surely(&self) -> bool {
+    pub fn has_valid_lease(&self) -> bool {
         let node = self.node.borrow();
         let lease = node.lease_until().is_some_and(|until| clock::now() < until);
         lease && node.log().term_at(node.committed()) == Some(node.term())
@@ -199,8 +199,8 @@
         Holder { name: self.settings.name.clone(), fence: self.node.borrow().term() }
     }
 
-    fn count_told(&self, told: fn(Wanted) -> bool) -> usize {
-        self.entries.borrow().values().filter(|link| told(link.wanted())).count()
+    fn count_subscribers(&self, told: fn(Wanted) -> bool) -> usize {
+        self.entries.borrow().values().filter(|link| told(link.subscription())).count()
     }
 
     /// The whole state as JSON.
@@ -231,9 +231,9 @@
             "configuration": self.machine.borrow().version(),
             "endpoints": endpoints,
             "entry_boxes": self.entries.borrow().len(),
-            "entry_boxes_known": telling::sharers(self).known,
-            "entry_boxes_told_quotas": self.count_told(|wanted| wanted.quotas),
-            "entry_boxes_told_loads": self.count_told(|wanted| wanted.loads),
+            "entry_boxes_known": entry_updates::sharers(self).known,
+            "entry_boxes_told_quotas": self.count_subscribers(|subscription| subscription.quotas),
+            "entry_boxes_told_loads": self.count_subscribers(|subscription| subscription.loads),
         })
     }
 }
--- a/crates/vaneway-server/src/core/control/store.rs
+++ b/crates/vaneway-server/src/core/control/store.rs
@@ -20,7 +20,7 @@
 use futures_util::StreamExt as _;
 use serde::Deserialize;
 use serde::Serialize;
-use vaneway_agreement::Durable;
+use vaneway_agreement::DurableState;
 use vaneway_agreement::Entry;
 use vaneway_agreement::Index;
 use vaneway_agreement::Members;
@@ -37,7 +37,7 @@
 const FILE_NAME: &str = "agreement.log";
 
 /// Pause before a write that failed is tried again.
-const RETRY_AFTER: Duration = Duration::from_millis(250);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// A record of the file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -57,7 +57,7 @@
     /// The node.
     pub node: NodeId,
     /// What it must not forget.
-    pub durable: Durable,
+    pub durable: DurableState,
     /// Position up to which entries were surely committed.
     pub committed: Index,
 }
@@ -134,7 +134,7 @@
         let (node, first_members) = identity();
         let record = Record::Identity { node, first_members: first_members.clone() };
         end = write_first(&file, folder, &record).wrap_err_with(context)?;
-        Stored { node, durable: Durable::empty(first_members), committed: 0 }
+        Stored { node, durable: DurableState::empty(first_members), committed: 0 }
     };
     drop(file);
     let file = compio::fs::OpenOptions::new().write(true).open(&path).await;
@@ -147,7 +147,7 @@
     for record in records {
         match (postcard::from_bytes(record).wrap_err("a record can't be read")?, &mut stored) {
             (Record::Identity { node, first_members }, None) => {
-                let durable = Durable::empty(first_members);
+                let durable = DurableState::empty(first_members);
                 stored = Some(Stored { node, durable, committed: 0 });
             }
             (Record::Persist { term, vote, snapshot, entries }, Some(stored)) => {
@@ -193,14 +193,14 @@
             let mut batch = Vec::new();
             let mut bytes = 0;
             let mut last = None;
-            let mut anew = false;
+            let mut rewrite = false;
             let mut next = Some(first);
             while let Some(write) = next {
                 bytes += write.bytes();
                 match &write {
                     Write::Persist(persist) => {
                         last = Some(persist.number);
-                        anew |= persist.snapshot.is_some();
+                        rewrite |= persist.snapshot.is_some();
                         self.stored.durable.apply(persist);
                     }
                     Write::Committed(index) => self.stored.committed = *index,
@@ -208,7 +208,7 @@
                 batch.extend(encode(&record(write)));
                 next = queue.try_recv().ok();
             }
-            self.write(&timers, batch, anew).await;
+            self.write(&timers, batch, rewrite).await;
             written(bytes);
             if let Some(number) = last {
                 durable(number);
@@ -216,21 +216,21 @@
         }
     }
 
-    /// Writes a batch, or with `anew` another file with all that counts, again and again until it
+    /// Writes a batch, or with `rewrite` another file with all that counts, again and again until it
     /// succeeds.
-    async fn write(&mut self, timers: &Timers, batch: Vec<u8>, anew: bool) {
+    async fn write(&mut self, timers: &Timers, batch: Vec<u8>, rewrite: bool) {
         let mut batch = batch;
         let mut failed = false;
         loop {
             let written =
-                if anew { self.try_write_anew().await } else { self.try_append(&mut batch).await };
+                if rewrite { self.try_rewrite().await } else { self.try_append(&mut batch).await };
             match written {
                 Ok(()) => break,
                 Err(error) if failed => log::debug!("event=disk_lost error={error:?}"),
-                Err(error) => self.log_lost(&error),
+                Err(error) => self.log_write_error(&error),
             }
             failed = true;
-            timers.sleep(RETRY_AFTER).await;
+            timers.sleep(RETRY_DELAY).await;
         }
         if failed {
             Line::new("disk_regained").with("file", self.path.display()).info();
@@ -248,8 +248,9 @@
         Ok(())
     }
 
-    async fn try_write_anew(&mut self) -> io::Result<()> {
-        let Durable { term, vote, snapshot, entries, first_members } = self.stored.durable.clone();
+    async fn try_rewrite(&mut self) -> io::Result<()> {
+        let DurableState { term, vote, snapshot, entries, first_members } =
+            self.stored.durable.clone();
         let node = self.stored.node;
         let mut bytes = encode(&Record::Identity { node, first_members });
         bytes.extend(encode(&Record::Persist { term, vote, snapshot, entries }));
@@ -260,7 +261,7 @@
         Ok(())
     }
 
-    fn log_lost(&self, error: &io::Error) {
+    fn log_write_error(&self, error: &io::Error) {
         Line::new("disk_lost").with("file", self.path.display()).with("error", error).error();
     }
 }
--- a/crates/vaneway-server/src/core/quota_ledger.rs
+++ b/crates/vaneway-server/src/core/quota_ledger.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use vaneway_quota::Demand;
-use vaneway_quota::SLOTS_KEPT;
+use vaneway_quota::RETAINED_SLOTS;
 use vaneway_quota::Slot;
 
 use crate::core::cluster_time::AHEAD_MOST;
@@ -20,7 +20,7 @@
 use crate::core::quota_usage::OwnQuotaUsage;
 
 /// Slots of quotas that a control box remembers.
-const LEDGER_SLOTS: usize = SLOTS_KEPT as usize + 4;
+const LEDGER_SLOTS: usize = RETAINED_SLOTS as usize + 4;
 
 /// Units of each organisation.
 type Units = BTreeMap<String, u64>;
--- a/crates/vaneway-server/src/core/quotas.rs
+++ b/crates/vaneway-server/src/core/quotas.rs
@@ -11,12 +11,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use vaneway_quota::FleetUsage;
 use vaneway_quota::Limit;
-use vaneway_quota::News;
 use vaneway_quota::Quota;
+use vaneway_quota::QuotaView;
 use vaneway_quota::Sharers;
 use vaneway_quota::Slot;
-use vaneway_quota::View;
 
 use crate::core::configuration::OrganisationSpec;
 use crate::core::configuration::Version;
@@ -82,7 +82,7 @@
     fn new_quota(&self, now: Duration, limit: Limit) -> OrganisationQuota {
         let mut quota = Quota::new(limit);
         if let Some((as_of, sharers)) = self.heard.get() {
-            quota.learn(now, Some(News { as_of, demand: 0.0 }), sharers);
+            quota.update_fleet_usage(now, Some(FleetUsage { as_of, demand: 0.0 }), sharers);
         }
         OrganisationQuota { quota, in_force: true }
     }
@@ -128,7 +128,7 @@
     /// Gives back what a request was charged that did not run.
     pub fn give_back(&self, now: Duration, organisation: &str, units: u64) {
         if let Some(known) = self.by_organisation.borrow_mut().get_mut(organisation) {
-            known.quota.give_back(now, units);
+            known.quota.refund(now, units);
         }
     }
 
@@ -144,8 +144,8 @@
         if let Some(as_of) = as_of {
             let before = self.heard.replace(Some((as_of, sharers)));
             if before.is_none() {
-                let Sharers { heard, known } = sharers;
-                Line::new("quotas_heard").with("heard", heard).with("known", known).info();
+                let Sharers { reporting, known } = sharers;
+                Line::new("quotas_heard").with("heard", reporting).with("known", known).info();
             }
         }
         let mut quotas = self.by_organisation.borrow_mut();
@@ -153,12 +153,16 @@
         for (organisation, others) in told {
             demands.insert(organisation.as_str(), others.demand);
             if let Some(known) = quotas.get_mut(organisation) {
-                known.quota.others_took(now, &others.slots);
+                known.quota.record_others_usage(now, &others.slots);
             }
         }
         for (organisation, known) in quotas.iter_mut() {
             let demand = demands.get(organisation.as_str()).copied().unwrap_or_default() as f64;
-            known.quota.learn(now, as_of.map(|as_of| News { as_of, demand }), sharers);
+            known.quota.update_fleet_usage(
+                now,
+                as_of.map(|as_of| FleetUsage { as_of, demand }),
+                sharers,
+            );
         }
     }
 
@@ -177,11 +181,11 @@
     pub fn own_usage(&self, now: Duration, first: Slot, all: bool) -> Vec<(String, OwnQuotaUsage)> {
         let quotas = self.by_organisation.borrow();
         let asked = quotas.iter().filter(|(_, known)| {
-            known.quota.was_asked_lately(now) || all && known.quota.asked() > 0
+            known.quota.has_unreported_demand(now) || all && known.quota.requested_units() > 0
         });
         let use_of = |(name, known): (&String, &OrganisationQuota)| {
-            let slots = known.quota.own(first).collect();
-            (name.clone(), OwnQuotaUsage { asked: known.quota.asked(), slots })
+            let slots = known.quota.own_usage_since(first).collect();
+            (name.clone(), OwnQuotaUsage { asked: known.quota.requested_units(), slots })
         };
         asked.map(use_of).collect()
     }
@@ -198,17 +202,23 @@
         .info();
 }
 
-fn charge_line(request: &str, organisation: &str, units: u64, view: &View, taken: bool) -> Line {
-    let age = view.age.map_or_else(|| "never".to_owned(), |age| age.as_millis().to_string());
+fn charge_line(
+    request: &str,
+    organisation: &str,
+    units: u64,
+    view: &QuotaView,
+    taken: bool,
+) -> Line {
+    let age = view.usage_age.map_or_else(|| "never".to_owned(), |age| age.as_millis().to_string());
     Line::new("quota_charged")
         .with("request", request)
         .with("organisation", organisation)
         .with("units", units)
         .with("level", view.level.round())
-        .with("open_above", view.open_above.round())
+        .with("open_above", view.full_admission_level.round())
         .with("age_ms", age)
-        .with("heard", view.sharers.heard)
+        .with("heard", view.sharers.reporting)
         .with("known", view.sharers.known)
-        .with("whole", view.whole)
+        .with("whole", view.is_fleet_wide)
         .with("taken", taken)
 }
