--- a/crates/vaneway-relay/src/relay.rs
+++ b/crates/vaneway-relay/src/relay.rs
@@ -164,7 +164,7 @@
             Event::Unavailable { full, until } => self.unavailable(now, full, until, out),
             Event::Woken => self.woken(now, out),
             Event::Transferred { attempt, complete } => {
-                self.transferred(now, attempt, complete, out)
+                self.transferred(now, attempt, complete, out);
             }
             Event::Head { attempt } => self.head(attempt),
             Event::Chunk { attempt, chunk } => self.chunk(now, attempt, chunk, out),
--- a/crates/vaneway-server/src/core/control/dissemination.rs
+++ b/crates/vaneway-server/src/core/control/dissemination.rs
@@ -100,7 +100,7 @@
     match message {
         BetweenControl::Registry(reports) => merge_endpoints(control, &reports, Source::Control),
         BetweenControl::QuarantineRecords(findings) => {
-            merge_quarantine_records(control, &findings, Source::Control)
+            merge_quarantine_records(control, &findings, Source::Control);
         }
         BetweenControl::Limits(reported) => merge_limits(control, &reported, Source::Control),
         // The answer to a ping has nothing that the ping on the other connection doesn't have.
@@ -125,7 +125,7 @@
         }
         match change {
             Change::Updated => {
-                updates.extend(control.registry.borrow().report(now, &report.instance))
+                updates.extend(control.registry.borrow().report(now, &report.instance));
             }
             Change::Refreshed if direct => {
                 for peer in control.peers.borrow().values() {
--- a/crates/vaneway-server/src/core/control/links.rs
+++ b/crates/vaneway-server/src/core/control/links.rs
@@ -92,7 +92,7 @@
     for entry in control.entries.borrow().values() {
         match entry.configuration_delivery.get() {
             ConfigurationDelivery::Offered => {
-                entry.outgoing.send_newest(CONFIGURATION_VERSION_TOPIC, &offer)
+                entry.outgoing.send_newest(CONFIGURATION_VERSION_TOPIC, &offer);
             }
             ConfigurationDelivery::Sent => send_configuration(control, entry, 0),
             ConfigurationDelivery::Unknown => {}
@@ -325,7 +325,7 @@
             }
         }
         BetweenControl::Join { node: joining } => {
-            group::record_join_request(control, node, joining)
+            group::record_join_request(control, node, joining);
         }
         message => dissemination::merge_from_control(control, message),
     }
