--- a/crates/vaneway-log/src/lib.rs
+++ b/crates/vaneway-log/src/lib.rs
@@ -21,8 +21,8 @@
 //! file.truncate(file.len() - 1); // a torn write
 //! let recovered = recover(&file)?;
 //! assert_eq!(recovered.records, [b"first"]);
-//! assert_eq!(recovered.torn_bytes, file.len() - recovered.whole_bytes);
-//! # Ok::<(), vaneway_log::Damage>(())
+//! assert_eq!(recovered.torn_bytes, file.len() - recovered.valid_bytes);
+//! # Ok::<(), vaneway_log::CorruptRecord>(())
 //! ```
 
 use std::fmt;
