--- a/crates/vaneway-capacity/src/lib.rs
+++ b/crates/vaneway-capacity/src/lib.rs
@@ -1,26 +1,29 @@
-//! How many replicas of a service to order, in which availability zone and of which kind, without
-//! I/O.
+//! Capacity planner without I/O: decides how many replicas of a service to order, in which
+//! availability zone and of which kind.
 //!
-//! Why: reclaimable replicas cost a fraction of on-demand ones, but the cloud takes all of a zone
-//! back at once, with seconds of notice, and may refuse new ones for a while; starting one takes
-//! seconds. The cheapest fleet that still serves is one of reclaimable replicas, spread so that what is
-//! left after the loss of any one zone is enough, and of on-demand ones while reclaimable ones are refused.
+//! Why: reclaimable replicas cost a fraction of on-demand ones, but the cloud reclaims all of a
+//! zone's replicas at once, with seconds of notice, and may refuse new ones for a while; starting
+//! a replica takes seconds. The cheapest fleet that still meets the demand consists of reclaimable
+//! replicas, spread so that the loss of any one zone leaves enough, with on-demand replicas as a
+//! substitute while reclaimable ones are refused.
 //!
-//! Data flow: the owner tells the demand and what runs ([`Input`]) again and again and carries out
-//! the [`Order`]s that come back, then tells what became of each ([`Planner::record_answer`]). Orders
-//! are absolute counts, so they may be repeated, and a planner that starts on another box goes on
-//! from what runs.
+//! Data flow: the caller passes the demand and the running replicas ([`Input`]) to
+//! [`Planner::plan`] periodically, submits the [`Order`]s that it returns and reports the result of
+//! each ([`Planner::record_answer`]). Orders are absolute counts, so they are idempotent, and a planner
+//! that starts on another box continues from the replicas that run.
 //!
 //! Rules, in this order:
 //!
-//! 1. Where reclaimable replicas are refused or were just taken back, none are counted on; if the
-//!    rest is too little, or one more loss would leave too little, on-demand ones are ordered in their
-//!    place, at once, and some in any case, for the loss of all zones.
-//! 2. Replicas are taken away only while what is left is enough without those that only start.
-//! 3. The demand counts at its highest of late, so that a lull does not empty the fleet; for
-//!    on-demand replicas, which are dear, a shorter time back.
-//! 4. While no demand is known, the fleet keeps the size that the last known one asked for, or that it had at
-//!    first; a demand that is known only in part ([`Planner::observe_min_demand`]) makes it larger, never smaller.
+//! 1. In a zone where reclaimable replicas were recently refused or reclaimed, no more than those
+//!    that run are counted on. If the remaining capacity is too small, or would be after the loss
+//!    of one more zone, on-demand replicas are ordered at once. A minimum of on-demand replicas is
+//!    ordered regardless, in case all zones are lost.
+//! 2. On-demand replicas are removed only while the remaining ones meet the demand without counting
+//!    replicas that are still starting.
+//! 3. The planner uses the recent maximum of the demand, so that a lull does not empty the fleet.
+//!    For on-demand replicas, which are expensive, it looks back over a shorter period.
+//! 4. While the demand is unknown, the fleet keeps the size that the last known demand required, or
+//!    its initial size. A lower bound of the demand ([`Planner::observe_min_demand`]) can only enlarge it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -34,83 +37,85 @@
 /// How a replica is paid for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// Stays until it is taken away.
+    /// Runs until it is removed by an order.
     OnDemand,
-    /// May be taken back by the cloud.
+    /// May be reclaimed by the cloud at short notice.
     Reclaimable,
 }
 
-/// What may be ordered in one availability zone.
+/// An availability zone in which replicas may be ordered.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Zone {
-    /// Its name.
+    /// Name of the zone.
     pub name: ZoneName,
-    /// Price of a replica's second.
+    /// Price of one replica for one second.
     pub price: f64,
 }
 
-/// What the planner goes by.
+/// Observed state of a service and bounds for its orders.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Input {
-    /// Work that arrives, in replicas that it would keep busy all the time; none while unknown.
+    /// Demand, as the number of replicas that it would keep fully busy; none while unknown.
     pub demand: Option<f64>,
     /// The zones, in any order.
     pub zones: Vec<Zone>,
-    /// Fewest replicas in a zone, of both kinds together.
+    /// Minimum replicas in each zone, of both kinds together.
     pub min_per_zone: u32,
-    /// Most replicas in a zone, of both kinds together.
+    /// Maximum replicas in each zone, of both kinds together.
     pub max_per_zone: u32,
-    /// Time from an order to a replica's first work.
+    /// Time from an order until the replica serves its first request.
     pub startup_time: Duration,
     /// Replicas that run and are not leaving.
     pub running: BTreeMap<(ZoneName, Kind), u32>,
-    /// Reclaimable replicas that are leaving, on an order or because the cloud takes them back.
+    /// Reclaimable replicas that are leaving, because of an order or because the cloud reclaims
+    /// them.
     pub leaving: BTreeMap<ZoneName, u32>,
-    /// What of the running replicas is lost to limits that they name, in replicas.
+    /// Capacity of running replicas that is lost to the request limits they advertise, in replicas.
     pub lost_to_limits: f64,
 }
 
-/// An order: so many replicas of this kind in this zone.
+/// An order for the absolute number of replicas of one kind in one zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
     /// The zone.
     pub zone: ZoneName,
-    /// The kind.
+    /// The kind of replica.
     pub kind: Kind,
-    /// How many.
+    /// Number of replicas to have, including those that run.
     pub count: u32,
 }
 
-/// What became of an order.
+/// Result of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
-    /// The cloud took it.
+    /// The cloud accepted it.
     Taken,
-    /// There are none to be had now.
+    /// The cloud has no such replicas available now.
     Refused,
-    /// Nobody knows.
+    /// No definite result was received.
     Unknown,
 }
 
-/// How the planner weighs cost against spare room.
+/// Trade-off between cost and spare capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Policy {
-    /// Part of a replica's time that may be busy. Reclaimable ones are cheap, so there can be many.
+    /// Target utilisation of the fleet, from 0 to 1. Reclaimable replicas are cheap, so this can
+    /// leave much spare capacity.
     pub busy_most: f64,
-    /// Part of a replica's time that may be busy while on-demand ones stand in for reclaimable
-    /// ones.
+    /// Target utilisation while on-demand replicas replace reclaimable ones.
     pub busy_scarce: f64,
-    /// On-demand replicas that are always kept.
+    /// Number of on-demand replicas that are always kept.
     pub on_demand_least: u32,
-    /// Part of the demand that on-demand replicas can serve while reclaimable ones are refused or were
-    /// just taken back, in case all of them are lost.
+    /// Share of the demand that on-demand replicas must be able to serve while reclaimable ones are
+    /// refused or were just reclaimed, in case all reclaimable replicas are lost.
     pub last_share: f64,
-    /// How long the highest demand counts.
+    /// Period over which the maximum demand is taken.
     pub demand_kept: Duration,
-    /// How long the highest demand counts for on-demand replicas that stand in for reclaimable
-    /// ones: they are dear, so a burst that is over is soon forgotten.
+    /// Period over which the maximum demand is taken for on-demand replicas that replace
+    /// reclaimable ones. It is shorter because they are expensive.
     pub scarce_kept: Duration,
-    /// Time after a refusal or a reclaim in which none are counted on.
+    /// Time after a refusal or a reclaim during which no new reclaimable replicas are counted on in
+    /// that zone.
     pub distrust: Duration,
 }
 
@@ -128,16 +133,19 @@
     }
 }
 
-/// Time after which an order that nobody answered for is given again.
-const AGAIN_AFTER: Duration = Duration::from_secs(2);
+/// Time after which an order without a definite result is repeated.
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Time beyond a replica's start after which an order that brought nothing is given again.
-const LATE_AFTER: Duration = Duration::from_secs(3);
+/// Time beyond [`Input::startup_time`] after which an accepted order is repeated if the number of
+/// running replicas still differs from it.
+const START_GRACE: Duration = Duration::from_secs(3);
 
+/// The latest order for one zone and kind.
 #[derive(Debug, Clone, Copy)]
-struct Sent {
+struct SentOrder {
     count: u32,
     at: Instant,
+    /// Its result; none until it is reported.
     answer: Option<Answer>,
 }
 
@@ -145,84 +153,88 @@
 #[derive(Debug, Clone)]
 pub struct Planner {
     policy: Policy,
-    /// The highest demands of late, the latest last; each is higher than all behind it.
-    demands: Vec<(Instant, f64)>,
-    /// Demand until one is known.
-    assumed: f64,
-    /// Whether a demand was ever known in full.
-    knew_demand: bool,
+    /// Recent demand maxima, oldest first; each is higher than all later ones.
+    demand_maxima: Vec<(Instant, f64)>,
+    /// Demand assumed until one is known.
+    assumed_demand: f64,
+    /// Whether the complete demand was ever known.
+    demand_was_known: bool,
     /// Reclaimable replicas that ran before any order was given.
-    reclaimable_at_first: Option<u32>,
-    sent: BTreeMap<(ZoneName, Kind), Sent>,
-    /// When reclaimable replicas were last refused or taken back in a zone.
-    distrusted: BTreeMap<ZoneName, Instant>,
+    initial_reclaimable: Option<u32>,
+    /// The latest order for each zone and kind.
+    sent: BTreeMap<(ZoneName, Kind), SentOrder>,
+    /// When reclaimable replicas were last refused or reclaimed in each zone.
+    last_shortage: BTreeMap<ZoneName, Instant>,
 }
 
-/// How many replicas of each kind a zone should have.
+/// Target number of replicas of each kind in one zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Wanted {
-    /// On-demand ones.
+pub struct ZoneTarget {
+    /// On-demand replicas.
     pub on_demand: u32,
-    /// Reclaimable ones.
+    /// Reclaimable replicas.
     pub reclaimable: u32,
 }
 
-/// Replicas that a demand needs.
+/// Number of replicas that a demand requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Need {
-    /// With room to spare, as long as reclaimable ones are to be had.
-    pub plenty: u32,
-    /// At least, whatever they cost.
-    pub scarce: u32,
-    /// On-demand ones among them while reclaimable ones are refused or were just taken back: what is
-    /// left if all zones are taken back before more could be started.
-    pub last: u32,
+    /// Replicas in all while reclaimable ones are available, at [`Policy::busy_most`].
+    pub preferred: u32,
+    /// Minimum replicas in all whatever they cost, at [`Policy::busy_scarce`].
+    pub minimum: u32,
+    /// Minimum on-demand replicas while reclaimable ones are refused or were just reclaimed: the
+    /// capacity that remains if all zones are reclaimed before more replicas could start.
+    pub on_demand_reserve: u32,
 }
 
-fn replicas(demand: f64, busy: f64) -> u32 {
-    (demand / busy).ceil().max(1.0) as u32
+/// Replicas needed to serve `demand` at a utilisation of `utilisation`; at least one.
+fn replicas(demand: f64, utilisation: f64) -> u32 {
+    (demand / utilisation).ceil().max(1.0) as u32
 }
 
 impl Planner {
-    /// A planner that has ordered nothing.
+    /// Creates a planner that has sent no orders.
     pub fn new(policy: Policy) -> Self {
         Self {
             policy,
-            demands: Vec::new(),
-            assumed: 0.0,
-            knew_demand: false,
-            reclaimable_at_first: None,
+            demand_maxima: Vec::new(),
+            assumed_demand: 0.0,
+            demand_was_known: false,
+            initial_reclaimable: None,
             sent: BTreeMap::new(),
-            distrusted: BTreeMap::new(),
+            last_shortage: BTreeMap::new(),
         }
     }
 
-    /// Learns of the load and the fleet while another planner gives the orders, so that this one can go on from what
-    /// the load needs and not from what a shortage has left.
+    /// Records the demand and the fleet while another planner gives the orders, so that this one
+    /// can take over with the demand's requirements and not with what a shortage has left running.
     pub fn observe(&mut self, now: Instant, input: &Input) {
         self.sent.clear();
-        self.learn_demand(now, input);
+        self.record_demand(now, input);
     }
 
-    /// Learns that the demand, which is not known in full, is at least so high. The input then names none.
+    /// Records a lower bound of a demand that is known only in part. [`Input::demand`] is none in
+    /// this case.
     pub fn observe_min_demand(&mut self, now: Instant, demand: f64) {
-        if self.demands.first().is_none_or(|(_, highest)| demand > *highest) {
-            self.demands = vec![(now, demand)];
+        if self.demand_maxima.first().is_none_or(|(_, maximum)| demand > *maximum) {
+            self.demand_maxima = vec![(now, demand)];
         }
     }
 
-    /// What to order now.
+    /// Returns the orders to send now.
     pub fn plan(&mut self, now: Instant, input: &Input) -> Vec<Order> {
-        self.learn_demand(now, input);
-        let demand = self.highest_demand(now, input, self.policy.demand_kept);
-        let recent = self.highest_demand(now, input, self.policy.scarce_kept);
-        // They run and are paid for, so those that do their work come on top; never more than as many again, also if
-        // whatever runs names limits.
-        let beside = |count: u32| count + (input.lost_to_limits.round() as u32).min(count);
+        self.record_demand(now, input);
+        let demand = self.max_demand(now, input, self.policy.demand_kept);
+        let recent = self.max_demand(now, input, self.policy.scarce_kept);
+        // Replicas that limit themselves still run and are paid for, so their substitutes are
+        // ordered in addition. At most doubles the count, even if all replicas advertise limits.
+        let with_substitutes =
+            |count: u32| count + (input.lost_to_limits.round() as u32).min(count);
         let need = Need {
-            plenty: beside(replicas(demand, self.policy.busy_most)),
-            scarce: beside(replicas(recent, self.policy.busy_scarce)),
-            last: (recent * self.policy.last_share).ceil() as u32,
+            preferred: with_substitutes(replicas(demand, self.policy.busy_most)),
+            minimum: with_substitutes(replicas(recent, self.policy.busy_scarce)),
+            on_demand_reserve: (recent * self.policy.last_share).ceil() as u32,
         };
         for zone in input.leaving.iter().filter(|(_, count)| **count > 0).map(|(zone, _)| zone) {
             let key = (zone.clone(), Kind::Reclaimable);
@@ -232,151 +244,160 @@
                 // They leave because fewer were ordered.
                 continue;
             }
-            self.distrusted.insert(zone.clone(), now);
-            // Taken back. Whether more are to be had is known only by an order, so it is given
-            // again at once.
+            self.last_shortage.insert(zone.clone(), now);
+            // Reclaimed by the cloud. Only an order shows whether more are available, so this one
+            // is marked as refused, which makes it due again after half of `distrust`.
             if let Some(sent) = self.sent.get_mut(&key) {
                 sent.answer = Some(Answer::Refused);
             }
         }
-        let wanted = self.wanted(now, input, need);
+        let targets = self.targets(now, input, need);
         let mut orders = Vec::new();
         for zone in &input.zones {
-            let wanted = wanted[&zone.name];
-            self.order(now, input, &zone.name, Kind::Reclaimable, wanted.reclaimable, &mut orders);
+            let target = targets[&zone.name];
+            self.order(now, input, &zone.name, Kind::Reclaimable, target.reclaimable, &mut orders);
         }
-        // What is taken away counts at once, what is ordered does not.
+        // Removed replicas are subtracted at once, but ordered ones are not added until they run.
         let mut running: u32 = input.running.values().sum();
         for zone in &input.zones {
-            let wanted = wanted[&zone.name].on_demand;
+            let target = targets[&zone.name].on_demand;
             let key = (zone.name.clone(), Kind::OnDemand);
             let runs = input.running.get(&key).copied().unwrap_or_default();
-            let spare = running.saturating_sub(need.scarce);
-            let count = wanted.max(runs.saturating_sub(spare));
+            let surplus = running.saturating_sub(need.minimum);
+            let count = target.max(runs.saturating_sub(surplus));
             running -= runs.saturating_sub(count).min(running);
             self.order(now, input, &zone.name, Kind::OnDemand, count, &mut orders);
         }
         orders
     }
 
-    /// Learns what became of an order.
+    /// Records the result of an order.
     pub fn record_answer(&mut self, now: Instant, order: &Order, answer: Answer) {
         if answer == Answer::Refused && order.kind == Kind::Reclaimable {
-            self.distrusted.insert(order.zone.clone(), now);
+            self.last_shortage.insert(order.zone.clone(), now);
         }
         if let Some(sent) = self.sent.get_mut(&(order.zone.clone(), order.kind)) {
             sent.answer = Some(answer);
         }
     }
 
-    /// The highest demand since `kept` before now. While none is known, what was known last stays; until one is,
-    /// the fleet that ran at first is taken to be what the load needs.
-    fn highest_demand(&self, now: Instant, input: &Input, kept: Duration) -> f64 {
-        let last = self.demands.last().map(|(at, _)| *at);
+    /// Returns the maximum demand of the latest `period`. While the demand is unknown, the last
+    /// known one applies. Until one is known, the initial fleet is assumed to match the demand.
+    fn max_demand(&self, now: Instant, input: &Input, period: Duration) -> f64 {
+        let last = self.demand_maxima.last().map(|(at, _)| *at);
         let now = last.filter(|_| input.demand.is_none()).unwrap_or(now);
-        let known = self.demands.iter().find(|(at, _)| now < *at + kept);
-        let known = known.map_or(0.0, |(_, highest)| *highest);
-        if input.demand.is_some() || self.knew_demand { known } else { known.max(self.assumed) }
+        let known = self.demand_maxima.iter().find(|(at, _)| now < *at + period);
+        let known = known.map_or(0.0, |(_, maximum)| *maximum);
+        if input.demand.is_some() || self.demand_was_known {
+            known
+        } else {
+            known.max(self.assumed_demand)
+        }
     }
 
-    /// Takes in the demand of now.
-    fn learn_demand(&mut self, now: Instant, input: &Input) {
-        self.learn_first_fleet(input);
+    fn record_demand(&mut self, now: Instant, input: &Input) {
+        self.record_initial_fleet(input);
         let Some(demand) = input.demand else { return };
-        self.knew_demand = true;
-        let kept = self.policy.demand_kept;
-        self.demands.retain(|(at, higher)| now < *at + kept && *higher > demand);
-        self.demands.push((now, demand));
+        self.demand_was_known = true;
+        let period = self.policy.demand_kept;
+        self.demand_maxima.retain(|(at, higher)| now < *at + period && *higher > demand);
+        self.demand_maxima.push((now, demand));
     }
 
-    /// Learns how large the fleet was at first. Its replicas are heard of one after the other for some
-    /// seconds; reclaimable ones that were ordered meanwhile are not among them, and on-demand ones are
-    /// never more than it.
-    fn learn_first_fleet(&mut self, input: &Input) {
+    /// Records the size of the initial fleet. Its replicas report one after the other over some
+    /// seconds. Reclaimable replicas ordered in the meantime are excluded; on-demand replicas never
+    /// outnumber the initial fleet, so all of them are counted.
+    fn record_initial_fleet(&mut self, input: &Input) {
         let running = |kind: Kind| -> u32 {
             input.running.iter().filter(|((_, of), _)| *of == kind).map(|(_, count)| count).sum()
         };
-        let reclaimable = *self.reclaimable_at_first.get_or_insert(running(Kind::Reclaimable));
-        let first = f64::from(running(Kind::OnDemand) + reclaimable);
-        self.assumed = self.assumed.max(first * self.policy.busy_most);
+        let reclaimable = *self.initial_reclaimable.get_or_insert(running(Kind::Reclaimable));
+        let initial = f64::from(running(Kind::OnDemand) + reclaimable);
+        self.assumed_demand = self.assumed_demand.max(initial * self.policy.busy_most);
     }
 
-    fn is_trusted(&self, now: Instant, zone: &str) -> bool {
-        self.distrusted.get(zone).is_none_or(|at| now >= *at + self.policy.distrust)
+    /// Whether new reclaimable replicas can be counted on in a zone.
+    fn is_reliable(&self, now: Instant, zone: &str) -> bool {
+        self.last_shortage.get(zone).is_none_or(|at| now >= *at + self.policy.distrust)
     }
 
-    /// The fleet that the need asks for.
-    pub fn wanted(&self, now: Instant, input: &Input, need: Need) -> BTreeMap<ZoneName, Wanted> {
+    /// Returns the target for each zone that meets `need`.
+    pub fn targets(
+        &self,
+        now: Instant,
+        input: &Input,
+        need: Need,
+    ) -> BTreeMap<ZoneName, ZoneTarget> {
         let mut zones: Vec<&Zone> = input.zones.iter().collect();
         zones.sort_by(|a, b| a.price.total_cmp(&b.price));
-        let mut wanted: BTreeMap<ZoneName, Wanted> =
-            zones.iter().map(|zone| (zone.name.clone(), Wanted::default())).collect();
+        let mut targets: BTreeMap<ZoneName, ZoneTarget> =
+            zones.iter().map(|zone| (zone.name.clone(), ZoneTarget::default())).collect();
         let count = zones.len() as u32;
-        let base = self.policy.on_demand_least.min(need.plenty);
+        let base = self.policy.on_demand_least.min(need.preferred);
         for i in 0..base {
             let zone = zones[(i % count) as usize];
-            wanted.entry(zone.name.clone()).or_default().on_demand += 1;
+            targets.entry(zone.name.clone()).or_default().on_demand += 1;
         }
-        // Enough is left when any one zone's are lost.
-        let spread = (need.plenty - base).div_ceil(count.saturating_sub(1).max(1));
-        for wanted in wanted.values_mut() {
-            let least = input.min_per_zone.saturating_sub(wanted.on_demand);
-            let room = input.max_per_zone.saturating_sub(wanted.on_demand);
-            wanted.reclaimable = spread.max(least).min(room);
+        // Divided by one zone less, so that the loss of any one zone leaves enough.
+        let spread = (need.preferred - base).div_ceil(count.saturating_sub(1).max(1));
+        for target in targets.values_mut() {
+            let least = input.min_per_zone.saturating_sub(target.on_demand);
+            let room = input.max_per_zone.saturating_sub(target.on_demand);
+            target.reclaimable = spread.max(least).min(room);
         }
-        self.replace_untrusted(now, input, need, &zones, &mut wanted);
-        wanted
+        self.replace_unreliable(now, input, need, &zones, &mut targets);
+        targets
     }
 
-    /// Adds on-demand replicas for reclaimable ones that can't be counted on now.
-    fn replace_untrusted(
+    /// Adds on-demand replicas in place of reclaimable ones that can't be counted on now.
+    fn replace_unreliable(
         &self,
         now: Instant,
         input: &Input,
         need: Need,
         zones: &[&Zone],
-        wanted: &mut BTreeMap<ZoneName, Wanted>,
+        targets: &mut BTreeMap<ZoneName, ZoneTarget>,
     ) {
-        let counted = |zone: &str, wanted: &Wanted| {
+        let counted = |zone: &str, target: &ZoneTarget| {
             let key = (zone.to_owned(), Kind::Reclaimable);
             let runs = input.running.get(&key).copied().unwrap_or_default();
-            if self.is_trusted(now, zone) {
-                wanted.reclaimable
+            if self.is_reliable(now, zone) {
+                target.reclaimable
             } else {
-                runs.min(wanted.reclaimable)
+                runs.min(target.reclaimable)
             }
         };
-        let mut on_demand: u32 = wanted.values().map(|wanted| wanted.on_demand).sum();
-        let reclaimable: u32 = wanted.iter().map(|(zone, wanted)| counted(zone, wanted)).sum();
+        let mut on_demand: u32 = targets.values().map(|target| target.on_demand).sum();
+        let reclaimable: u32 = targets.iter().map(|(zone, target)| counted(zone, target)).sum();
         let mut have = on_demand + reclaimable;
-        let mut last = 0;
-        if zones.iter().any(|zone| !self.is_trusted(now, &zone.name)) {
-            // Another zone may follow, and there would be no time to order then.
-            let next = wanted.iter().map(|(zone, wanted)| counted(zone, wanted)).max();
+        let mut reserve = 0;
+        if zones.iter().any(|zone| !self.is_reliable(now, &zone.name)) {
+            // Another zone may be lost next, with no time left to order then.
+            let next = targets.iter().map(|(zone, target)| counted(zone, target)).max();
             have -= next.unwrap_or_default();
-            last = need.last;
+            reserve = need.on_demand_reserve;
         }
         let mut full = false;
-        while (have < need.scarce || on_demand < last) && !full {
+        while (have < need.minimum || on_demand < reserve) && !full {
             full = true;
             for zone in zones {
-                let wanted = wanted.entry(zone.name.clone()).or_default();
-                let short = have < need.scarce || on_demand < last;
-                if short && wanted.on_demand + counted(&zone.name, wanted) < input.max_per_zone {
-                    wanted.on_demand += 1;
+                let target = targets.entry(zone.name.clone()).or_default();
+                let short = have < need.minimum || on_demand < reserve;
+                if short && target.on_demand + counted(&zone.name, target) < input.max_per_zone {
+                    target.on_demand += 1;
                     on_demand += 1;
                     have += 1;
                     full = false;
                 }
             }
         }
-        // Both kinds share the zone's room.
-        for wanted in wanted.values_mut() {
-            wanted.reclaimable = wanted.reclaimable.min(input.max_per_zone - wanted.on_demand);
+        // Both kinds together must stay within the zone's maximum.
+        for target in targets.values_mut() {
+            target.reclaimable = target.reclaimable.min(input.max_per_zone - target.on_demand);
         }
     }
 
-    /// Gives an order unless it stands already.
+    /// Adds an order to `orders` unless the same one is in effect or still awaits its result.
     fn order(
         &mut self,
         now: Instant,
@@ -392,9 +413,9 @@
             let since = now.saturating_duration_since(sent.at);
             let wait = match sent.answer {
                 Some(Answer::Taken) if runs == count => Duration::MAX,
-                Some(Answer::Taken) => input.startup_time + LATE_AFTER,
+                Some(Answer::Taken) => input.startup_time + START_GRACE,
                 Some(Answer::Refused) => self.policy.distrust / 2,
-                Some(Answer::Unknown) | None => AGAIN_AFTER,
+                Some(Answer::Unknown) | None => RETRY_DELAY,
             };
             if sent.count == count && since < wait {
                 return;
@@ -402,7 +423,7 @@
         } else if runs == count {
             return;
         }
-        self.sent.insert(key, Sent { count, at: now, answer: None });
+        self.sent.insert(key, SentOrder { count, at: now, answer: None });
         orders.push(Order { zone: zone.to_owned(), kind, count });
     }
 }
--- a/crates/vaneway-engine/src/demand.rs
+++ b/crates/vaneway-engine/src/demand.rs
@@ -1,36 +1,41 @@
-//! How many replicas a load keeps busy.
+//! Number of replicas that a load keeps busy.
 
 use crate::Speeds;
 
-/// Most of an engine's time that is taken to go into reading when its pace is corrected for it;
-/// above it the pace says nothing of an engine that only generates.
-const READING_MOST: f64 = 0.8;
+/// Maximum share of an engine's time assumed to be spent on prefill when the measured gap between
+/// events is corrected for it. Above this share, the measured gap says nothing about an engine that
+/// only generates.
+const MAX_PREFILL_SHARE: f64 = 0.8;
 
-/// Work that arrives in a second.
+/// Work that arrives per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Rates {
-    /// Runs.
+    /// Runs per second.
     pub runs: f64,
-    /// Prompt tokens of these.
+    /// Prompt tokens of these runs per second.
     pub prompt_tokens: f64,
-    /// Prompt tokens that must be read.
+    /// Prompt tokens per second that engines must process because they are not cached.
     pub uncached_tokens: f64,
 }
 
 impl Rates {
-    /// The rates of all `known` boxes, where only `heard` of them told theirs, by the last rates that all
-    /// told; none if that can't be said. Boxes that are cut off go on taking work, about as much as the
-    /// others, and of boxes that died the others take it, so the sum is not taken to rise.
-    pub fn extrapolate(self, heard: u32, known: u32, last: Option<Self>) -> Option<Self> {
-        if heard == 0 {
+    /// Extrapolates the rates that `reporting` boxes reported to all `known` boxes; `last` are the
+    /// rates when all boxes last reported. None if no box reported, or if some are missing and
+    /// `last` is none.
+    ///
+    /// Boxes that are cut off continue to receive about as much work as the others, and the work of
+    /// crashed boxes goes to the others. A rate is therefore extrapolated to at most the last known
+    /// one, and never below the reported one.
+    pub fn extrapolate(self, reporting: u32, known: u32, last: Option<Self>) -> Option<Self> {
+        if reporting == 0 {
             return None;
         }
-        if heard >= known {
+        if reporting >= known {
             return Some(self);
         }
         let last = last?;
-        let factor = f64::from(known) / f64::from(heard);
-        let rate = |told: f64, last: f64| told.max((told * factor).min(last));
+        let factor = f64::from(known) / f64::from(reporting);
+        let rate = |reported: f64, last: f64| reported.max((reported * factor).min(last));
         Some(Self {
             runs: rate(self.runs, last.runs),
             prompt_tokens: rate(self.prompt_tokens, last.prompt_tokens),
@@ -39,34 +44,34 @@
     }
 }
 
-/// What one replica has, as the configuration says.
+/// Capacity of one replica, from the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineSize {
-    /// Runs at once.
+    /// Maximum concurrent runs.
     pub batch_slots: u32,
-    /// Tokens that its memory holds; 0 if unknown.
+    /// Tokens that fit in its memory; 0 if unknown.
     pub memory_tokens: u64,
 }
 
-/// Replicas that a load keeps busy, by what keeps them busy.
+/// Number of replicas that a load keeps busy, by resource.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Demand {
-    /// Reading prompts.
+    /// Replicas busy processing prompts (prefill).
     pub reading: f64,
-    /// Generating, with every place of a replica taken.
+    /// Replicas busy generating, with all slots of a replica in use.
     pub generating: f64,
-    /// Holding prompts in memory.
+    /// Replicas whose memory the prompts fill.
     pub memory: f64,
 }
 
 impl Demand {
-    /// Replicas in all. Reading and generating take turns at an engine, so they add up; memory is
-    /// held meanwhile.
+    /// Replicas in all. An engine alternates between prefill and generating, so these add up;
+    /// memory is occupied at the same time.
     pub fn replicas(&self) -> f64 {
         (self.reading + self.generating).max(self.memory)
     }
 
-    /// What most of it comes from, for the log.
+    /// Name of the resource that requires the most replicas, for the log.
     pub fn binding(&self) -> &'static str {
         if self.memory > self.reading + self.generating {
             "memory"
@@ -79,19 +84,19 @@
 }
 
 impl Speeds {
-    /// The replicas that `rates` keep busy, where `running` replicas serve now.
+    /// Number of replicas that `rates` keep busy, while `running` replicas serve.
     pub fn demand(&self, rates: Rates, size: EngineSize, running: u32) -> Demand {
         let reading = rates.uncached_tokens * self.prompt_token_s;
-        // The pace that was seen holds the reading of other prompts between events.
-        let read_part = (reading / f64::from(running.max(1))).min(READING_MOST);
-        let alone = self.gap_s * (1.0 - read_part);
+        // The measured gap between events includes prefill of other prompts.
+        let prefill_share = (reading / f64::from(running.max(1))).min(MAX_PREFILL_SHARE);
+        let undisturbed_gap = self.gap_s * (1.0 - prefill_share);
         let generating =
-            rates.runs * self.gaps_per_run * alone / f64::from(size.batch_slots.max(1));
-        let held_for = self.first_event_s + self.gaps_per_run * self.gap_s;
+            rates.runs * self.gaps_per_run * undisturbed_gap / f64::from(size.batch_slots.max(1));
+        let run_time = self.first_event_s + self.gaps_per_run * self.gap_s;
         let memory = if size.memory_tokens == 0 {
             0.0
         } else {
-            rates.prompt_tokens * held_for / size.memory_tokens as f64
+            rates.prompt_tokens * run_time / size.memory_tokens as f64
         };
         Demand { reading, generating, memory }
     }
--- a/crates/vaneway-engine/src/lib.rs
+++ b/crates/vaneway-engine/src/lib.rs
@@ -1,22 +1,24 @@
-//! How fast model engines read and generate, learned from the runs that pass through, and how many
-//! replicas a load needs, without I/O.
+//! Estimates how fast model engines process prompts and generate, from the runs that pass through,
+//! and how many replicas a load needs. Without I/O.
 //!
-//! Why: engines differ a hundredfold in speed, places and memory, and nobody tells how fast they
-//! are. The time until a run's first event and the pace of its later ones are seen anyway.
+//! Why: engines differ a hundredfold in speed, slots and memory, and no configuration states how
+//! fast they are. The time to a run's first event and the gaps between its later events are
+//! observed anyway.
 //!
-//! Data flow: each entry box puts the runs of a service into an [`Observer`] and sends the totals of
-//! its work with its own [`Speeds`]; a control box merges the speeds of all boxes ([`merge`]) and asks
-//! [`Speeds::demand`] how many replicas the work of a second keeps busy.
+//! Data flow: each entry box records the runs of a service in an [`Observer`] and sends the totals
+//! of its work with its local estimate of the [`Speeds`]. A control box merges the speeds from all
+//! boxes ([`merge`]) and calls [`Speeds::demand`] to get the number of replicas that the work
+//! arriving per second keeps busy.
 //!
-//! What keeps odd runs from leading it astray:
+//! How the estimates resist outliers:
 //!
-//! - The time for a prompt token is the median slope over pairs of runs (Theil, "A rank-invariant
+//! - The time per prompt token is the median slope over pairs of runs (Theil, "A rank-invariant
 //!   method of linear and polynomial regression analysis", 1950; Sen, "Estimates of the regression
-//!   coefficient based on Kendall's tau", 1968), so waits that don't depend on the prompt cancel out
-//!   and up to a quarter of the runs may be arbitrarily slow.
-//! - The pace of generating is a lower quartile, since whatever disturbs it makes it slower.
-//! - Boxes are merged by medians, each with the weight of what it has seen.
-//! - What was seen stays through idle minutes: only newer runs take its place.
+//!   coefficient based on Kendall's tau", 1968), so delays that don't depend on the prompt cancel
+//!   out and up to a quarter of the runs may be arbitrarily slow.
+//! - The gap between events is the lower quartile, since every disturbance lengthens it.
+//! - Estimates from several boxes are merged by medians, weighted by the number of runs.
+//! - Samples don't expire while a service is idle: only newer runs replace them.
 
 mod demand;
 mod observer;
--- a/crates/vaneway-engine/src/observer.rs
+++ b/crates/vaneway-engine/src/observer.rs
@@ -1,4 +1,4 @@
-//! Speeds from the runs that one box has seen, and from several boxes.
+//! Estimates engine speeds from the runs of one box, and merges the estimates of several boxes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,59 +6,59 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Runs that an estimate rests on: some seconds of one box's load, and few enough to compare all
-/// pairs of them now and then.
-const RUNS_KEPT: usize = 64;
+/// Maximum runs kept as samples: some seconds of one box's load, and few enough to compare all
+/// pairs at each update.
+const MAX_SAMPLES: usize = 64;
 
-/// New runs after which speeds are worked out anew.
-const RENEWED_AFTER: u32 = 16;
+/// Number of new runs after which the speeds are estimated anew.
+const RUNS_PER_UPDATE: u32 = 16;
 
-/// Runs from which speeds are worked out for the first time: of hundreds of boxes each sees few, and all of them
-/// together know enough much sooner than any one.
-const FIRST_AFTER: u32 = 6;
+/// Number of runs for the first estimate. It is low because each of hundreds of boxes observes only
+/// a few runs, while all of them together have enough much earlier than any one.
+const RUNS_FOR_FIRST_ESTIMATE: u32 = 6;
 
-/// Least difference of two prompts that are compared, as a part of the longest one: below it, the
-/// engine's steps outweigh what the difference costs.
-const DIFFERENCE_LEAST: f64 = 0.2;
+/// Minimum difference in length of two prompts that are compared, as a share of the longest prompt:
+/// below it, the duration of the engine's steps outweighs the cost of the difference.
+const MIN_LENGTH_DIFFERENCE: f64 = 0.2;
 
-/// Estimates among which the fastest counts: engines under more work than they can do seem slower
-/// than they are, and a demand that rises with the shortage would order without end.
-const ESTIMATES_KEPT: usize = 12;
+/// Number of estimates of which the fastest is used. Overloaded engines appear slower than they
+/// are, and a demand that rises with the shortage would order replicas without end.
+const MAX_ESTIMATES: usize = 12;
 
-/// Fewest pauses between events from which a run's pace is taken.
-const PAUSES_LEAST: u32 = 2;
+/// Minimum gaps between events for a run to count in the estimate of the gap.
+const MIN_GAPS: u32 = 2;
 
-/// Runs of all boxes together from which speeds count as known.
-const KNOWN_FROM: u32 = 32;
+/// Minimum runs of all boxes together for the speeds to be used.
+const MIN_RELIABLE_RUNS: u32 = 32;
 
-/// One run of a request at an engine, as its entry box saw it.
+/// One run of a request at an engine, as observed by its entry box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Run {
-    /// Prompt tokens that the engine had to read.
+    /// Prompt tokens that the engine had to process because they were not cached.
     pub uncached_tokens: u64,
-    /// Time from sending it to its first event.
+    /// Time from sending the request to its first event.
     pub time_to_first_event: Duration,
-    /// Pauses between its events.
+    /// Number of gaps between its events.
     pub gaps: u32,
     /// Time from the first event to the last one.
     pub generation_time: Duration,
-    /// Whether it came to its end.
+    /// Whether the run completed.
     pub completed: bool,
 }
 
-/// Work that one box has given to the engines of a service since it started.
+/// Work that one box has sent to the engines of a service since it started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Totals {
-    /// Runs begun.
+    /// Runs started.
     pub runs: u64,
-    /// Prompt tokens of these.
+    /// Prompt tokens of these runs.
     pub prompt_tokens: u64,
-    /// Prompt tokens that had to be read.
+    /// Prompt tokens that engines had to process because they were not cached.
     pub uncached_tokens: u64,
 }
 
 impl Totals {
-    /// What has been added since `before`.
+    /// Returns the work added since `before`.
     #[must_use]
     pub fn since(self, before: Self) -> Self {
         Self {
@@ -77,144 +77,148 @@
     }
 }
 
-/// How fast engines of a service work.
+/// Estimated speeds of a service's engines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Speeds {
-    /// Seconds to read a prompt token beside the usual other work.
+    /// Seconds to process one prompt token while the engine does its usual other work.
     pub prompt_token_s: f64,
-    /// Seconds from sending a run to its first event.
+    /// Seconds from sending a request to its first event.
     pub first_event_s: f64,
-    /// Seconds between two events of a run that little disturbs.
+    /// Seconds between two events of a run with little other work at the engine.
     pub gap_s: f64,
-    /// Pauses of a run on average.
+    /// Mean number of gaps between events of a completed run.
     pub gaps_per_run: f64,
-    /// Runs that this rests on.
+    /// Number of runs that the estimate is based on.
     pub runs: u32,
 }
 
 impl Speeds {
-    /// Whether it rests on enough runs to be acted on.
+    /// Whether the estimate is based on enough runs to act on it.
     pub fn are_reliable(&self) -> bool {
-        self.runs >= KNOWN_FROM
+        self.runs >= MIN_RELIABLE_RUNS
     }
 }
 
-/// What one box has seen of a service's engines.
+/// Estimates the speeds of a service's engines from the runs of one box.
 #[derive(Debug, Default)]
 pub struct Observer {
     totals: Totals,
-    /// Unread tokens and seconds to the first event of the latest runs.
-    reads: VecDeque<(f64, f64)>,
-    /// Seconds a pause of the latest runs.
-    paces: VecDeque<f64>,
-    /// Pauses of the latest whole runs.
-    lengths: VecDeque<f64>,
-    /// Seconds a prompt token and seconds a pause of the latest estimates.
+    /// Uncached prompt tokens and seconds to the first event of the latest runs.
+    first_events: VecDeque<(f64, f64)>,
+    /// Mean seconds per gap between events of each of the latest runs.
+    gap_times: VecDeque<f64>,
+    /// Number of gaps of each of the latest completed runs.
+    gap_counts: VecDeque<f64>,
+    /// Seconds per prompt token and seconds per gap of the latest estimates.
     estimates: VecDeque<(f64, f64)>,
+    /// The speeds as of the latest update.
     speeds: Speeds,
-    /// Runs since the speeds were worked out.
-    unused: u32,
+    /// Runs since the latest update of `speeds`.
+    runs_since_update: u32,
 }
 
 impl Observer {
-    /// Counts a run that begins.
+    /// Counts a run that starts.
     pub fn begin(&mut self, prompt_tokens: u64, uncached_tokens: u64) {
         self.totals += Totals { runs: 1, prompt_tokens, uncached_tokens };
     }
 
-    /// Takes in what was seen of a run whose first event came.
+    /// Records a run that ended after at least one event.
     pub fn observe(&mut self, run: &Run) {
-        keep(
-            &mut self.reads,
-            RUNS_KEPT,
+        push_bounded(
+            &mut self.first_events,
+            MAX_SAMPLES,
             (run.uncached_tokens as f64, run.time_to_first_event.as_secs_f64()),
         );
-        if run.gaps >= PAUSES_LEAST {
-            keep(
-                &mut self.paces,
-                RUNS_KEPT,
+        if run.gaps >= MIN_GAPS {
+            push_bounded(
+                &mut self.gap_times,
+                MAX_SAMPLES,
                 run.generation_time.as_secs_f64() / f64::from(run.gaps),
             );
         }
         if run.completed {
-            keep(&mut self.lengths, RUNS_KEPT, f64::from(run.gaps));
+            push_bounded(&mut self.gap_counts, MAX_SAMPLES, f64::from(run.gaps));
         }
-        self.unused += 1;
+        self.runs_since_update += 1;
     }
 
-    /// Work since the start.
+    /// Work since the box started.
     pub fn totals(&self) -> Totals {
         self.totals
     }
 
-    /// The speeds, worked out anew if enough was seen since.
+    /// Returns the speeds, after updating the estimate if enough runs were recorded since.
     pub fn speeds(&mut self) -> Speeds {
-        let enough = if self.estimates.is_empty() { FIRST_AFTER } else { RENEWED_AFTER };
-        if self.unused >= enough {
-            self.unused = 0;
-            let mut paces: Vec<f64> = self.paces.iter().copied().collect();
-            let estimate = (slope(&self.reads), quantile(&mut paces, 0.25));
-            keep(&mut self.estimates, ESTIMATES_KEPT, estimate);
-            let mut firsts: Vec<f64> = self.reads.iter().map(|(_, first)| *first).collect();
+        let enough =
+            if self.estimates.is_empty() { RUNS_FOR_FIRST_ESTIMATE } else { RUNS_PER_UPDATE };
+        if self.runs_since_update >= enough {
+            self.runs_since_update = 0;
+            let mut gap_times: Vec<f64> = self.gap_times.iter().copied().collect();
+            let estimate = (median_slope(&self.first_events), quantile(&mut gap_times, 0.25));
+            push_bounded(&mut self.estimates, MAX_ESTIMATES, estimate);
+            let mut firsts: Vec<f64> = self.first_events.iter().map(|(_, first)| *first).collect();
             self.speeds = Speeds {
                 prompt_token_s: fastest(self.estimates.iter().map(|(token, _)| *token)),
                 first_event_s: quantile(&mut firsts, 0.5),
-                gap_s: fastest(self.estimates.iter().map(|(_, pause)| *pause)),
-                gaps_per_run: self.lengths.iter().sum::<f64>() / self.lengths.len().max(1) as f64,
-                runs: self.reads.len() as u32,
+                gap_s: fastest(self.estimates.iter().map(|(_, gap)| *gap)),
+                gaps_per_run: self.gap_counts.iter().sum::<f64>()
+                    / self.gap_counts.len().max(1) as f64,
+                runs: self.first_events.len() as u32,
             };
         }
         self.speeds
     }
 }
 
-/// The least time that is not 0, which stands for an unknown one; 0 if none is known.
+/// Returns the shortest non-zero time; 0 means unknown and is returned if all are.
 fn fastest(times: impl Iterator<Item = f64>) -> f64 {
     times.filter(|time| *time > 0.0).min_by(f64::total_cmp).unwrap_or_default()
 }
 
-/// Appends a value and drops the oldest one beyond `most`.
-fn keep<T>(latest: &mut VecDeque<T>, most: usize, value: T) {
-    if latest.len() == most {
+/// Appends a value, after dropping the oldest one if there are `max` already.
+fn push_bounded<T>(latest: &mut VecDeque<T>, max: usize, value: T) {
+    if latest.len() == max {
         latest.pop_front();
     }
     latest.push_back(value);
 }
 
-/// Seconds a token: the median slope over pairs of runs; where all prompts are alike, the median of
-/// each run's own quotient, which also holds what does not depend on the prompt.
-fn slope(reads: &VecDeque<(f64, f64)>) -> f64 {
-    let longest = reads.iter().map(|(tokens, _)| *tokens).fold(0.0, f64::max);
-    let least = longest * DIFFERENCE_LEAST;
+/// Returns seconds per prompt token, as the median slope over pairs of runs. If all prompts are of
+/// similar length, returns the median of time divided by tokens, which includes delays that don't
+/// depend on the prompt.
+fn median_slope(first_events: &VecDeque<(f64, f64)>) -> f64 {
+    let longest = first_events.iter().map(|(tokens, _)| *tokens).fold(0.0, f64::max);
+    let min_difference = longest * MIN_LENGTH_DIFFERENCE;
     let mut slopes = Vec::new();
-    for (i, (tokens, first)) in reads.iter().enumerate() {
-        for (others, other_first) in reads.iter().skip(i + 1) {
-            if (tokens - others).abs() >= least.max(1.0) {
-                slopes.push((first - other_first) / (tokens - others));
+    for (i, (tokens, first)) in first_events.iter().enumerate() {
+        for (other_tokens, other_first) in first_events.iter().skip(i + 1) {
+            if (tokens - other_tokens).abs() >= min_difference.max(1.0) {
+                slopes.push((first - other_first) / (tokens - other_tokens));
             }
         }
     }
     if slopes.is_empty() {
-        slopes = reads.iter().map(|(tokens, first)| first / tokens.max(1.0)).collect();
+        slopes = first_events.iter().map(|(tokens, first)| first / tokens.max(1.0)).collect();
     }
     quantile(&mut slopes, 0.5).max(0.0)
 }
 
-/// The value below which a part of all lies; 0 of none.
-fn quantile(values: &mut [f64], part: f64) -> f64 {
+/// Returns the quantile `fraction` of `values`; 0 if there are none.
+fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     if values.is_empty() {
         return 0.0;
     }
-    let index = ((values.len() - 1) as f64 * part).round() as usize;
+    let index = ((values.len() - 1) as f64 * fraction).round() as usize;
     *values.select_nth_unstable_by(index, f64::total_cmp).1
 }
 
-/// Speeds that several boxes have seen, each with the weight of its runs.
-pub fn merge(seen: &[Speeds]) -> Speeds {
-    let seen: Vec<Speeds> = seen.iter().copied().filter(|speeds| speeds.runs > 0).collect();
-    let runs: u32 = seen.iter().map(|speeds| speeds.runs).sum();
+/// Merges the speeds from several boxes, each weighted by its number of runs.
+pub fn merge(speeds: &[Speeds]) -> Speeds {
+    let speeds: Vec<Speeds> = speeds.iter().copied().filter(|speeds| speeds.runs > 0).collect();
+    let runs: u32 = speeds.iter().map(|speeds| speeds.runs).sum();
     let median = |value: fn(&Speeds) -> f64| {
-        let mut values: Vec<(f64, u32)> = seen.iter().map(|s| (value(s), s.runs)).collect();
+        let mut values: Vec<(f64, u32)> = speeds.iter().map(|s| (value(s), s.runs)).collect();
         values.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut below = 0;
         let middle = values.iter().find(|(_, weight)| {
@@ -223,12 +227,12 @@
         });
         middle.map_or(0.0, |(value, _)| *value)
     };
-    let pauses: f64 = seen.iter().map(|speeds| speeds.gaps_per_run * f64::from(speeds.runs)).sum();
+    let gaps: f64 = speeds.iter().map(|speeds| speeds.gaps_per_run * f64::from(speeds.runs)).sum();
     Speeds {
         prompt_token_s: median(|speeds| speeds.prompt_token_s),
         first_event_s: median(|speeds| speeds.first_event_s),
         gap_s: median(|speeds| speeds.gap_s),
-        gaps_per_run: pauses / f64::from(runs.max(1)),
+        gaps_per_run: gaps / f64::from(runs.max(1)),
         runs,
     }
 }
