--- a/crates/vaneway-capacity/src/lib.rs
+++ b/crates/vaneway-capacity/src/lib.rs
@@ -9,8 +9,8 @@
 //!
 //! Data flow: the caller passes the demand and the running replicas ([`Input`]) to
 //! [`Planner::plan`] periodically, submits the [`Order`]s that it returns and reports the result of
-//! each ([`Planner::record_answer`]). Orders are absolute counts, so they are idempotent, and a planner
-//! that starts on another box continues from the replicas that run.
+//! each ([`Planner::record_answer`]). Orders are absolute counts, so they are idempotent, and a
+//! planner that starts on another box continues from the replicas that run.
 //!
 //! Rules, in this order:
 //!
@@ -23,7 +23,8 @@
 //! 3. The planner uses the recent maximum of the demand, so that a lull does not empty the fleet.
 //!    For on-demand replicas, which are expensive, it looks back over a shorter period.
 //! 4. While the demand is unknown, the fleet keeps the size that the last known demand required, or
-//!    its initial size. A lower bound of the demand ([`Planner::observe_min_demand`]) can only enlarge it.
+//!    its initial size. A lower bound of the demand ([`Planner::observe_min_demand`]) can only
+//!    enlarge it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/vaneway-limit/src/lib.rs
+++ b/crates/vaneway-limit/src/lib.rs
@@ -1,16 +1,21 @@
-//! Limits that endpoints name, kept by all entry boxes together, without I/O.
+//! Request limits that endpoints advertise, enforced by all entry boxes together, without I/O.
 //!
-//! Why: an endpoint in need names in its answers how many requests a second it takes from all entry boxes together, for as
-//! long as it says so. That can be less than one for hundreds of boxes, none of which knows what the others send.
+//! Why: an overloaded endpoint advertises in its responses how many requests per second it accepts
+//! from all entry boxes together. The limit is in force until a response no longer advertises it.
+//! It can be less than one request per second for hundreds of boxes, none of which knows what the
+//! others send.
 //!
-//! Data flow: a box tells its [`EndpointLimits`] what each answer names ([`EndpointLimits::record_response`]). What others have to
-//! know comes out of [`EndpointLimits::take_updates`], and what they saw goes in by [`EndpointLimits::merge`]. What is known of an
-//! endpoint goes to its [`Gate`], which every attempt passes.
+//! Data flow: a box records what each response advertises in its [`EndpointLimits`]
+//! ([`EndpointLimits::record_response`]). [`EndpointLimits::take_updates`] returns the updates for
+//! other boxes, and [`EndpointLimits::merge`] merges updates from them. The current limit of an
+//! endpoint is passed to its [`Gate`], which is checked at every attempt.
 //!
-//! How the sum holds: time is cut into intervals, each of which has so many requests by the limit, and each of these
-//! belongs to one box by its [`BoxNumber`]. A box needs nobody's word to know which are its own, so the sum holds while
-//! boxes are cut off; and what isn't used in its interval is gone, so nothing can be saved up and sent at once. Where
-//! boxes disagree on how many they are, some requests belong to two of them or to none, and the mean stays.
+//! How the total is enforced: time is divided into intervals. The limit allows a number of requests
+//! in each interval, and each of these belongs to one box, determined by its [`BoxNumber`]. A box
+//! computes its share without communication, so the total holds while boxes are cut off. What a box
+//! does not use in an interval is lost, so nothing can accumulate and be sent in a burst. While
+//! boxes disagree on their number, some requests belong to two of them or to none, but the mean
+//! rate remains the same.
 
 mod gate;
 mod named;
--- a/crates/vaneway-limit/src/named.rs
+++ b/crates/vaneway-limit/src/named.rs
@@ -1,4 +1,4 @@
-//! What endpoints have named, as one box knows it.
+//! The limits that endpoints advertised, as known to one box.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,66 +14,68 @@
 /// Time since 1970 by the cluster's clock.
 pub type EpochTime = Duration;
 
-/// How long what an endpoint named is kept that is not known, or whose limit has ended: longer than a message is late.
-const KEPT: Duration = Duration::from_mins(1);
+/// How long a limit is retained that was lifted, or whose endpoint is not in use: longer than
+/// messages between boxes are delayed, so that a delayed one does not restore it.
+const LIMIT_RETENTION: Duration = Duration::from_mins(1);
 
-/// What an endpoint named last.
+/// The limit that an endpoint advertised last.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdvertisedLimit {
-    /// The incarnation that named it.
+    /// Start time of the incarnation that advertised it; 0 if unknown.
     pub born: StartMillis,
-    /// What it takes.
+    /// The rate that it accepts from all entry boxes together.
     pub rate: Rate,
-    /// Whether its answers name no limit any more.
+    /// Whether its responses no longer advertise a limit.
     pub lifted: bool,
-    /// When a box first saw this in an answer.
+    /// When a box first saw this limit, or the end of it, in a response.
     pub seen_at: EpochTime,
 }
 
 impl AdvertisedLimit {
-    /// Whether it is of the incarnation `born`, as far as is known.
+    /// Whether the incarnation `born` advertised it. An unknown incarnation, 0, matches any.
     pub fn matches_incarnation(&self, born: StartMillis) -> bool {
         self.born == born || self.born == 0 || born == 0
     }
 
-    /// Whether both say the same, whenever it was seen.
-    fn says_the_same(&self, other: &Self) -> bool {
+    /// Whether both are equal but for `seen_at`.
+    fn is_same_limit(&self, other: &Self) -> bool {
         (self.born, self.rate, self.lifted) == (other.born, other.rate, other.lifted)
     }
 }
 
-/// What boxes tell each other.
+/// An endpoint's limit, as boxes send it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLimit {
     /// The endpoint.
     pub endpoint: InstanceId,
-    /// What it named.
+    /// Its limit.
     pub limit: AdvertisedLimit,
 }
 
-/// What one box knows of the limits that endpoints name.
+/// All limits that one box knows of.
 ///
-/// Of two words of an endpoint the one of the later incarnation counts, then the one that was seen later, so they may be
-/// lost, repeated and reordered.
+/// Of two limits of an endpoint, the one from the later incarnation takes precedence, then the one
+/// that was seen later. Updates may therefore be lost, duplicated and reordered.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointLimits {
     by_endpoint: BTreeMap<InstanceId, AdvertisedLimit>,
-    /// Endpoints of which others have to hear.
-    news: BTreeSet<InstanceId>,
+    /// Endpoints whose limits have changed since the last [`EndpointLimits::take_updates`].
+    changed: BTreeSet<InstanceId>,
 }
 
 impl EndpointLimits {
-    /// Whether no endpoint is known to have named a limit, so that there is none to end.
+    /// Whether no limits are known, so that a response without one has nothing to lift.
     pub fn is_empty(&self) -> bool {
         self.by_endpoint.is_empty()
     }
 
-    /// What an endpoint named last, if it ever named a limit.
+    /// The limit that an endpoint advertised last, if any; it may have been lifted since.
     pub fn get(&self, endpoint: &str) -> Option<&AdvertisedLimit> {
         self.by_endpoint.get(endpoint)
     }
 
-    /// Learns what an answer of an endpoint's incarnation `born` names; returns it if that is news here.
+    /// Records the limit that a response from an endpoint's incarnation `born` advertises; `rate`
+    /// is none if it advertises none. Returns the new limit if it differs from the known one.
     pub fn record_response(
         &mut self,
         now: EpochTime,
@@ -84,50 +86,50 @@
         let known =
             self.by_endpoint.get(endpoint).filter(|known| known.matches_incarnation(born)).copied();
         let born = known.map_or(born, |known| known.born.max(born));
-        // Newer than what was told before, also where the clock of whoever told it is ahead.
+        // Later than the known one, even if that was seen by a box whose clock is ahead.
         let seen_at = known.map_or(now, |known| now.max(known.seen_at + Duration::from_micros(1)));
         let limit = match (rate, known) {
             (Some(rate), _) => AdvertisedLimit { born, rate, lifted: false, seen_at },
             (None, Some(known)) => AdvertisedLimit { born, lifted: true, seen_at, ..known },
             (None, None) => return None,
         };
-        if known.is_some_and(|known| known.says_the_same(&limit)) {
+        if known.is_some_and(|known| known.is_same_limit(&limit)) {
             return None;
         }
         self.by_endpoint.insert(endpoint.to_owned(), limit);
-        self.news.insert(endpoint.to_owned());
+        self.changed.insert(endpoint.to_owned());
         Some(limit)
     }
 
-    /// Learns what others saw, and returns what of it was news here.
-    pub fn merge(&mut self, now: EpochTime, told: &[EndpointLimit]) -> Vec<EndpointLimit> {
-        told.iter().filter_map(|told| self.merge_one(now, told)).collect()
+    /// Merges limits that other boxes sent, and returns those that changed the limit known here.
+    pub fn merge(&mut self, now: EpochTime, received: &[EndpointLimit]) -> Vec<EndpointLimit> {
+        received.iter().filter_map(|received| self.merge_one(now, received)).collect()
     }
 
-    fn merge_one(&mut self, now: EpochTime, told: &EndpointLimit) -> Option<EndpointLimit> {
-        // One that comes from the future would go before all that is seen until then.
-        let limit = AdvertisedLimit { seen_at: told.limit.seen_at.min(now), ..told.limit };
-        let known = self.by_endpoint.get(&told.endpoint).copied();
+    fn merge_one(&mut self, now: EpochTime, received: &EndpointLimit) -> Option<EndpointLimit> {
+        // A time in the future would take precedence over everything seen until then.
+        let limit = AdvertisedLimit { seen_at: received.limit.seen_at.min(now), ..received.limit };
+        let known = self.by_endpoint.get(&received.endpoint).copied();
         if known.is_some_and(|known| (limit.born, limit.seen_at) <= (known.born, known.seen_at)) {
             return None;
         }
-        self.by_endpoint.insert(told.endpoint.clone(), limit);
-        let is_news = known.is_none_or(|known| !known.says_the_same(&limit));
-        is_news.then(|| EndpointLimit { endpoint: told.endpoint.clone(), limit })
+        self.by_endpoint.insert(received.endpoint.clone(), limit);
+        let is_changed = known.is_none_or(|known| !known.is_same_limit(&limit));
+        is_changed.then(|| EndpointLimit { endpoint: received.endpoint.clone(), limit })
     }
 
-    /// Has something told on with the next news.
-    pub fn forward(&mut self, told: &[EndpointLimit]) {
-        self.news.extend(told.iter().map(|told| told.endpoint.clone()));
+    /// Adds limits that another box sent to the next updates.
+    pub fn forward(&mut self, limits: &[EndpointLimit]) {
+        self.changed.extend(limits.iter().map(|limit| limit.endpoint.clone()));
     }
 
-    /// What others have to know since this was last asked.
+    /// Returns the limits that changed since the last call, to be sent to other boxes.
     pub fn take_updates(&mut self) -> Vec<EndpointLimit> {
-        let news = std::mem::take(&mut self.news);
-        news.into_iter().filter_map(|endpoint| self.limit_of(endpoint)).collect()
+        let changed = std::mem::take(&mut self.changed);
+        changed.into_iter().filter_map(|endpoint| self.limit_of(endpoint)).collect()
     }
 
-    /// All that is known, for a box that knows nothing.
+    /// Returns all limits, for a box that has just connected.
     pub fn all(&self) -> Vec<EndpointLimit> {
         self.by_endpoint.keys().filter_map(|endpoint| self.limit_of(endpoint.clone())).collect()
     }
@@ -137,10 +139,11 @@
         Some(EndpointLimit { endpoint, limit })
     }
 
-    /// Forgets what no longer matters: of endpoints that are not there, and limits that have ended.
-    pub fn remove_expired(&mut self, now: EpochTime, is_there: impl Fn(&str, StartMillis) -> bool) {
+    /// Removes limits that were lifted, or whose endpoint is not in use any more, once they are
+    /// older than `LIMIT_RETENTION`.
+    pub fn remove_expired(&mut self, now: EpochTime, in_use: impl Fn(&str, StartMillis) -> bool) {
         self.by_endpoint.retain(|endpoint, limit| {
-            now < limit.seen_at + KEPT || (!limit.lifted && is_there(endpoint, limit.born))
+            now < limit.seen_at + LIMIT_RETENTION || (!limit.lifted && in_use(endpoint, limit.born))
         });
     }
 }
--- a/crates/vaneway-limit/src/number.rs
+++ b/crates/vaneway-limit/src/number.rs
@@ -1,11 +1,11 @@
-//! Numbers that endpoints name in their answers.
+//! Parses numbers in the response headers of endpoints.
 
 use std::fmt;
 
-/// Why a text is no number that an endpoint may name.
+/// Why a header value is not a valid number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NumberError {
-    /// It is no decimal number.
+    /// It is not a decimal number.
     NotANumber,
     /// It is below zero.
     Negative,
@@ -24,19 +24,19 @@
 impl fmt::Display for NumberError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::NotANumber => "it must be a decimal number",
-            Self::Negative => "it must not be below zero",
+            Self::NotANumber => "invalid number: expected a decimal number",
+            Self::Negative => "invalid number: expected zero or more",
         })
     }
 }
 
 impl std::error::Error for NumberError {}
 
-/// Reads a decimal number, as large as it may be.
+/// Parses a non-negative decimal number of any size.
 ///
 /// # Errors
 ///
-/// If it is none, or below zero.
+/// If the text is not a decimal number, or if the number is negative.
 pub fn parse_number(text: &str) -> Result<f64, NumberError> {
     let is_decimal = |c: char| c.is_ascii_digit() || matches!(c, '.' | '+' | '-');
     let text = text.trim();
--- a/crates/vaneway-limit/src/rate.rs
+++ b/crates/vaneway-limit/src/rate.rs
@@ -1,4 +1,4 @@
-//! Requests a second, as endpoints name them.
+//! Request rates that endpoints advertise.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,26 +9,28 @@
 use crate::NumberError;
 use crate::parse_number;
 
-/// Parts of a request in which rates are kept, so that they compare exactly.
-const MILLIONTHS: f64 = 1e6;
+/// Units per request: rates are stored as an integer number of millionths, so that they compare
+/// exactly.
+const UNITS_PER_REQUEST: f64 = 1e6;
 
-/// Requests a second that an endpoint takes from all entry boxes together.
+/// Requests per second that an endpoint accepts from all entry boxes together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Rate(u64);
 
 impl Rate {
-    /// Requests a second.
+    /// The rate in requests per second.
     pub fn per_second(self) -> f64 {
-        self.0 as f64 / MILLIONTHS
+        self.0 as f64 / UNITS_PER_REQUEST
     }
 }
 
 impl FromStr for Rate {
     type Err = NumberError;
 
-    /// Reads a decimal number; one that is larger than any limit becomes the largest.
+    /// Parses a decimal number of requests per second, rounded to millionths. A number that is too
+    /// large to represent becomes the maximum.
     fn from_str(text: &str) -> Result<Self, NumberError> {
-        Ok(Self((parse_number(text)? * MILLIONTHS).round() as u64))
+        Ok(Self((parse_number(text)? * UNITS_PER_REQUEST).round() as u64))
     }
 }
 
