--- a/crates/vaneway-route/src/endpoint.rs
+++ b/crates/vaneway-route/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint: what the settings say of it and what this box has seen of it.
+//! The state of one endpoint: its specification and what this entry box has observed of it.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -19,10 +19,10 @@
 
 use crate::expected::CACHED_PART_MAX_AGE;
 
-/// Position of a service in the settings.
+/// Index of a service in the settings.
 pub type ServiceId = u32;
 
-/// Position of an endpoint in its pool; stays the same while the pool lives.
+/// Index of an endpoint in its pool; never changes.
 pub type EndpointId = u32;
 
 chart_names! {
@@ -61,11 +61,11 @@
 /// The compiled chart `endpoint.json`.
 pub type EndpointChart = Chart<EndpointState, EndpointEvent, EndpointAction>;
 
-/// The chart of an endpoint's life, compiled once.
+/// The state chart of an endpoint, compiled once.
 ///
 /// # Panics
 ///
-/// If the embedded file does not pass its check, which a test rules out.
+/// If the embedded file is invalid, which a test rules out.
 pub fn endpoint_chart() -> &'static EndpointChart {
     static CHART: OnceLock<EndpointChart> = OnceLock::new();
     CHART.get_or_init(|| {
@@ -73,98 +73,99 @@
     })
 }
 
-/// What the settings say of an endpoint.
+/// Specification of an endpoint, from the settings or its registration.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct EndpointSpec {
     /// The replica's name, unique in the deployment.
     pub name: String,
     /// The service it serves.
     pub service: ServiceId,
-    /// Where it takes calls.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
-    /// The availability zone it stands in.
+    /// The availability zone it runs in.
     pub availability_zone: String,
-    /// The box it runs on, as the platform names it.
+    /// The platform's name of the box it runs on.
     pub box_name: String,
-    /// Whether the cloud can take the box back.
+    /// Whether the cloud can reclaim the box.
     pub reclaimable: bool,
-    /// Most requests this entry box has open there at once.
+    /// Maximum requests that this entry box has open there at once.
     pub max_open: u32,
 }
 
-/// Prompt parts remembered of one endpoint before those that no longer count are dropped.
-const PARTS_MOST: usize = 4_096;
+/// Number of cached prompt parts of one endpoint above which expired ones are removed.
+const MAX_CACHED_PARTS: usize = 4_096;
 
-/// First suspension after a failure; doubles with each further one.
-const SUSPENSION_FIRST: Duration = Duration::from_millis(200);
+/// Duration of the suspension after the first failure; doubles with each further one.
+const MIN_SUSPENSION: Duration = Duration::from_millis(200);
 
-/// Longest suspension, so that an endpoint that recovered is found again soon.
-const SUSPENSION_MOST: Duration = Duration::from_secs(5);
+/// Maximum duration of a suspension, so that an endpoint that recovered soon gets requests again.
+const MAX_SUSPENSION: Duration = Duration::from_secs(5);
 
-/// Replaced instances that are remembered: more than a platform's list can lag behind.
-const RETIRED_MOST: usize = 16;
+/// Maximum replaced instances that are remembered: more than a platform's list can lag behind.
+const MAX_RETIRED_INSTANCES: usize = 16;
 
-/// An endpoint with what this box has seen of it.
+/// An endpoint as observed by this entry box.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// What the settings say.
+    /// Its specification.
     pub spec: EndpointSpec,
     /// Hash of its name, the same at every box.
     pub(crate) key: u64,
-    /// Where its chart stands.
+    /// Its state in the chart `endpoint.json`.
     pub state: EndpointState,
     /// The platform's id of the running instance, once known.
     pub instance: Option<String>,
     /// Instances that were replaced, the latest last.
     pub retired: VecDeque<String>,
-    /// When a notice says it will be gone.
+    /// When it will be gone, according to a notice.
     pub gone_at: Option<Instant>,
-    /// No new work before this time.
+    /// End of its suspension after a failure; it gets no new work before.
     pub suspended_until: Option<Instant>,
-    /// It wants nothing from this box before this time.
+    /// End of its back-off: it asked this box to send nothing before.
     pub backoff_until: Option<Instant>,
-    /// Failures since it last answered.
+    /// Consecutive failures, since its last response.
     pub failures: u32,
-    /// Requests this box has open there.
+    /// Requests that this box has open there.
     pub open: u32,
-    /// Tokens this box expects to be worked on there.
+    /// Outstanding tokens of this box: work that it has sent there and that has not begun.
     pub open_tokens: u64,
-    /// What the other entry boxes have open there, as last told.
+    /// The load from the other entry boxes, as of the last update.
     pub others_load: Load,
-    /// When the others' load was told.
+    /// When `others_load` was updated.
     pub others_load_at: Option<Instant>,
-    /// Recent failures, each worth 1 at first and less with time.
+    /// Recent failures; each counts 1 at first and decays.
     pub recent_failures: DecayingSum,
-    /// Answers that arrive from there piece by piece.
+    /// Number of responses that are arriving from there.
     pub responding: u32,
-    /// When bytes of such an answer last came.
+    /// When data of such a response last arrived.
     pub last_progress: Option<Instant>,
-    /// Admits requests while the endpoint names a limit.
+    /// Enforces the limit that the endpoint advertises.
     pub gate: Gate,
-    /// Prompt parts that requests brought there, as far as this box knows, and when last.
+    /// Prompt parts that the endpoint has probably cached, and when a request last used each.
     pub cached_parts: BTreeMap<PartId, Instant>,
 }
 
-/// What is open at an endpoint.
+/// Open work at an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests.
+    /// Open requests.
     pub requests: u32,
-    /// Tokens of work that has not begun.
+    /// Outstanding tokens: work that has not begun.
     pub tokens: u64,
 }
 
-/// Names a part of a prompt that requests may share.
+/// Identifies a part of a prompt that requests may share.
 pub type PartId = u64;
 
-/// A sum of events, each of which counts less with time.
+/// An exponentially decaying sum of events.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DecayingSum {
     value: f64,
+    /// When `value` was last updated.
     at: Option<Instant>,
 }
 
-/// Time in which an event of a [`DecayingSum`] sum loses half of its worth.
+/// Time in which the weight of an event in a [`DecayingSum`] decays by half.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
 impl DecayingSum {
@@ -174,20 +175,20 @@
         self.value * (-passed.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2()
     }
 
-    /// The sum's worth a second, if it came evenly.
+    /// The rate per second of a steady stream of events that gives this sum.
     pub fn rate(&self, now: Instant) -> f64 {
         self.value(now) * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64()
     }
 
-    /// Adds an event.
-    pub fn add(&mut self, now: Instant, worth: f64) {
-        self.value = self.value(now) + worth;
+    /// Adds an event of the given weight.
+    pub fn add(&mut self, now: Instant, weight: f64) {
+        self.value = self.value(now) + weight;
         self.at = Some(now);
     }
 }
 
 impl Endpoint {
-    /// A new endpoint that serves.
+    /// Creates an endpoint in its initial state, serving.
     pub fn new(spec: EndpointSpec) -> Self {
         let mut hasher = DefaultHasher::new();
         spec.name.hash(&mut hasher);
@@ -214,24 +215,24 @@
         }
     }
 
-    /// Whether new work may go there at `now`.
+    /// Whether it accepts new work at `now`.
     pub fn takes_work(&self, now: Instant) -> bool {
         let state = matches!(self.state, EndpointState::Serving | EndpointState::Suspect);
-        state && self.takes_work_from().is_none_or(|from| from <= now)
+        state && self.available_from().is_none_or(|from| from <= now)
     }
 
-    /// When its suspension and its rest are over, if it has either.
-    pub(crate) fn takes_work_from(&self) -> Option<Instant> {
+    /// When both its suspension and its back-off are over; none if it has neither.
+    pub(crate) fn available_from(&self) -> Option<Instant> {
         self.suspended_until.max(self.backoff_until)
     }
 
-    /// How long nothing has come of the answers that should be arriving; none if there are none.
-    pub fn silence(&self, now: Instant) -> Option<Duration> {
+    /// Time since data of any response last arrived; none if no responses are arriving.
+    pub fn time_since_progress(&self, now: Instant) -> Option<Duration> {
         let last_progress = self.last_progress.filter(|_| self.responding > 0)?;
         Some(now.saturating_duration_since(last_progress))
     }
 
-    /// Whether there is room for one more request.
+    /// Whether this box may open one more request there.
     pub fn has_room(&self) -> bool {
         self.open < self.spec.max_open
     }
@@ -241,41 +242,41 @@
         self.retired.iter().any(|retired| retired == instance)
     }
 
-    /// Drops the prompt parts that no longer count once there are many.
-    pub(crate) fn forget_parts(&mut self, now: Instant) {
-        if self.cached_parts.len() > PARTS_MOST {
+    /// Removes expired prompt parts if there are more than `MAX_CACHED_PARTS`.
+    pub(crate) fn remove_expired_parts(&mut self, now: Instant) {
+        if self.cached_parts.len() > MAX_CACHED_PARTS {
             self.cached_parts.retain(|_, at| now < *at + CACHED_PART_MAX_AGE);
         }
     }
 
-    /// Takes `instance` as the current one; true if it replaces another.
-    pub(crate) fn adopt(&mut self, instance: &str) -> bool {
+    /// Sets the current instance; true if it replaces another one.
+    pub(crate) fn replace_instance(&mut self, instance: &str) -> bool {
         if self.instance.as_deref() == Some(instance) {
             return false;
         }
         let Some(old) = self.instance.replace(instance.to_owned()) else { return false };
-        if self.retired.len() == RETIRED_MOST {
+        if self.retired.len() == MAX_RETIRED_INSTANCES {
             self.retired.pop_front();
         }
         self.retired.push_back(old);
         true
     }
 
-    /// Notes a failure and withholds work for a time that doubles with each.
+    /// Records a failure and suspends the endpoint, for a time that doubles with each failure.
     pub(crate) fn suspend(&mut self, now: Instant) {
-        let doublings = self.failures.min(SUSPENSION_MOST.as_millis().ilog2());
-        let pause = SUSPENSION_FIRST.saturating_mul(1 << doublings).min(SUSPENSION_MOST);
+        let doublings = self.failures.min(MAX_SUSPENSION.as_millis().ilog2());
+        let suspension = MIN_SUSPENSION.saturating_mul(1 << doublings).min(MAX_SUSPENSION);
         self.failures += 1;
-        self.suspended_until = Some(now + pause);
+        self.suspended_until = Some(now + suspension);
     }
 
-    /// Forgets the failures.
+    /// Resets the failure count and ends the suspension.
     pub(crate) fn restore(&mut self) {
         self.failures = 0;
         self.suspended_until = None;
     }
 
-    /// Starts over as a new instance.
+    /// Resets the state that belonged to the previous instance.
     pub(crate) fn reset(&mut self) {
         self.restore();
         self.backoff_until = None;
--- a/crates/vaneway-route/src/lib.rs
+++ b/crates/vaneway-route/src/lib.rs
@@ -1,14 +1,14 @@
-//! Endpoint registry and routing decisions, without I/O.
+//! Endpoint pool and routing decisions, without I/O.
 //!
-//! Why: every entry box must know which endpoints may take work, how much work it has given each
-//! of them, and which one to choose next. These decisions are pure state, so that the daemon, the
-//! tests and the benchmarks run the same code.
+//! Why: every entry box must know which endpoints accept work, how much work it has sent to each of
+//! them, and which one to choose next. This crate performs no I/O, so that the daemon, the tests
+//! and the benchmarks run the same code.
 //!
-//! Data flow: the owner builds a [`Pool`] from [`EndpointSpec`]s, reports what it sees of each
-//! endpoint with [`Pool::handle`], asks [`Pool::choose`] where a request should go, and brackets
-//! every attempt with [`Pool::begin_attempt`] and [`Pool::end_attempt`]. What an endpoint's change means for
-//! running work comes back as [`Effect`]s. The life of an endpoint is the chart
-//! `charts/endpoint.json`.
+//! Data flow: the caller builds a [`Pool`] from [`EndpointSpec`]s, reports events at each endpoint
+//! with [`Pool::handle`], calls [`Pool::choose`] to select the endpoint of a request, and calls
+//! [`Pool::begin_attempt`] and [`Pool::end_attempt`] around every attempt. The consequences of an
+//! endpoint's state change for running work are returned as [`Effect`]s. The states of an endpoint
+//! are defined by the state chart `charts/endpoint.json`.
 
 mod endpoint;
 mod expected;
--- a/crates/vaneway-route/src/policy.rs
+++ b/crates/vaneway-route/src/policy.rs
@@ -1,6 +1,6 @@
-//! The ways to choose among endpoints that may take a request.
+//! Policies for the choice among endpoints that can accept a request.
 //!
-//! The simple ones stay selectable as baselines for measurements.
+//! The simple policies remain available as baselines for measurements.
 
 use std::hash::DefaultHasher;
 use std::hash::Hash;
@@ -25,7 +25,7 @@
     Random,
     /// Each in turn.
     RoundRobin,
-    /// The one with the fewest tokens outstanding.
+    /// The one with the fewest outstanding tokens.
     LeastOutstanding,
     /// The less loaded of two random ones (Mitzenmacher, "The Power of Two Choices in
     /// Randomized Load Balancing", 2001).
@@ -34,28 +34,28 @@
     /// Always the same one for the same prefix (rendezvous hashing; Thaler and Ravishankar,
     /// 1998).
     PrefixHash,
-    /// The one that is expected to be done first, going by the work open there, the parts of the
-    /// prompt that it has read before, its distance and its recent failures.
+    /// The one that is expected to complete first, based on its open work, the prompt parts that it
+    /// has cached, its availability zone and its recent failures.
     ExpectedWork,
 }
 
 /// A part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names the part.
+    /// Identifies the part.
     pub id: PartId,
-    /// Its tokens.
+    /// Number of tokens in the part.
     pub tokens: u32,
 }
 
-/// What a request will cost an endpoint.
+/// The cost of a request to an endpoint.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Work {
     /// Tokens of the prompt; 0 for a request to a plain service.
     pub prompt_tokens: u32,
-    /// Most tokens that may be generated.
+    /// Maximum tokens to generate.
     pub max_tokens: u32,
-    /// The prompt's parts in order; the last belongs to the request alone.
+    /// The prompt's parts in order; the last one is unique to the request.
     pub parts: Vec<PromptPart>,
 }
 
@@ -95,11 +95,12 @@
     }
 }
 
-/// State that policies keep between choices.
+/// A policy with the state that it keeps between choices.
 #[derive(Debug)]
 pub(crate) struct Chooser {
     policy: Policy,
     rng: Pcg64Mcg,
+    /// Number of choices made, for [`Policy::RoundRobin`].
     turn: usize,
 }
 
@@ -112,7 +113,7 @@
         Self { policy, rng, turn: 0 }
     }
 
-    /// Picks one of `candidates`, or none if there are none.
+    /// Picks one of `candidates`; none if there are none.
     pub(crate) fn pick(
         &mut self,
         endpoints: &[Endpoint],
@@ -121,7 +122,7 @@
         query: &Query<'_>,
     ) -> Option<EndpointId> {
         if let Some(hash) = query.isolation_hash {
-            return expected::pick_apart(endpoints, candidates, now, hash);
+            return expected::pick_isolated(endpoints, candidates, now, hash);
         }
         let prefix = query.prefix;
         let load = |id: &EndpointId| {
@@ -129,15 +130,15 @@
             (endpoint.open_tokens, endpoint.open, *id)
         };
         match self.policy {
-            Policy::Random => self.any(candidates),
+            Policy::Random => self.random(candidates),
             Policy::RoundRobin => {
                 self.turn = self.turn.wrapping_add(1);
                 (!candidates.is_empty()).then(|| candidates[self.turn % candidates.len()])
             }
             Policy::LeastOutstanding => candidates.iter().copied().min_by_key(load),
             Policy::TwoChoices => {
-                let first = self.any(candidates)?;
-                let second = self.any(candidates)?;
+                let first = self.random(candidates)?;
+                let second = self.random(candidates)?;
                 [first, second].into_iter().min_by_key(load)
             }
             Policy::PrefixHash => candidates
@@ -150,17 +151,18 @@
         }
     }
 
-    /// A number from 0 to 1.
-    pub(crate) fn draw(&mut self) -> f64 {
+    /// Returns a random number from 0 to 1.
+    pub(crate) fn random_fraction(&mut self) -> f64 {
         self.rng.random_range(0.0..1.0)
     }
 
-    fn any(&mut self, candidates: &[EndpointId]) -> Option<EndpointId> {
+    fn random(&mut self, candidates: &[EndpointId]) -> Option<EndpointId> {
         (!candidates.is_empty()).then(|| candidates[self.rng.random_range(0..candidates.len())])
     }
 }
 
-/// How much an endpoint is the place for `prefix`, the same at every box.
+/// Rendezvous weight of an endpoint for `prefix`, the same at every box: the endpoint with the
+/// highest weight is preferred.
 pub(crate) fn rendezvous_weight(prefix: u64, endpoint: &Endpoint) -> u64 {
     let mut hasher = DefaultHasher::new();
     (prefix, endpoint.key).hash(&mut hasher);
--- a/crates/vaneway-route/src/pool.rs
+++ b/crates/vaneway-route/src/pool.rs
@@ -1,4 +1,4 @@
-//! All endpoints that an entry box may use, and the choice among them.
+//! The pool of endpoints that an entry box can use, and the choice among them.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,136 +23,140 @@
 use crate::expected;
 use crate::expected::CACHED_PART_MAX_AGE;
 use crate::policy::Chooser;
-use crate::silence::SilentZones;
+use crate::silence::UnresponsiveZones;
 
-/// What a request needs of the endpoint to be chosen.
+/// Requirements of a request for the endpoint to be chosen.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Query<'a> {
-    /// The service that must answer.
+    /// The service that must respond.
     pub service: ServiceId,
-    /// The caller's box stands in this availability zone, which is preferred.
+    /// Availability zone of this entry box; endpoints in it are preferred.
     pub home: &'a str,
-    /// Endpoints tried already; used only when nothing else is left.
+    /// Endpoints tried already; chosen again only if there are no others.
     pub avoid: &'a [EndpointId],
     /// Hash of the prompt's beginning, for affinity.
     pub prefix: u64,
-    /// What the request will cost, if known.
+    /// Estimated cost of the request, if known.
     pub work: Option<&'a Work>,
-    /// Hash by which the request is placed apart from others of its kind, in place of where it costs least: an
-    /// endpoint ended under it, and those that ran beside it must not meet again at the next one.
+    /// Hash by which to choose the endpoint instead of by cost. Set if an endpoint crashed while it
+    /// ran the request: it isolates the request from those that ran beside it, so that they don't
+    /// meet again at the next endpoint.
     pub isolation_hash: Option<u64>,
-    /// When its first event has to come, if that is to be held.
+    /// Bound on the queue of the endpoint, if the time to the first event must be met.
     pub queue_limit: Option<QueueLimit>,
-    /// What the limits that endpoints name leave to this box.
+    /// Determines this box's share of the limits that endpoints advertise.
     pub sender: Sender,
 }
 
-/// What decides whether an engine's queue is short enough for a request.
+/// Decides whether an engine's queue is short enough for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueueLimit {
-    /// Seconds in which an engine reads a token of a prompt.
+    /// Seconds that an engine takes to process one prompt token.
     pub seconds_per_token: f64,
-    /// Time that the work before the request may take. Its own prompt does not count: one that takes long to read does
-    /// so anywhere.
+    /// Maximum time for the work queued before the request. The request's own prompt does not
+    /// count, because it takes as long at any endpoint.
     pub max_wait: Duration,
-    /// Prompt tokens that all boxes together bring before they hear of each other.
+    /// Prompt tokens that all boxes together send before they receive each other's load updates.
     pub unreported_tokens: f64,
 }
 
-/// The answer to a [`Query`].
+/// The result of a [`Query`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
-    /// Send it there.
+    /// Send the request to this endpoint.
     Endpoint(EndpointId),
-    /// All that could take it are full.
+    /// All available endpoints are full.
     Full,
-    /// All that could take it have named limits, and what this box may send of them is sent.
+    /// All available endpoints advertise limits, and this box has used up its share of them.
     Limited,
-    /// All that could take it have more work than can be done in time.
+    /// All available endpoints have queues that are too long for the request's [`QueueLimit`].
     QueuesTooLong,
-    /// None can take it before the given time, if one is known.
+    /// No endpoint accepts requests at present.
     Unavailable {
-        /// When the first of them is over a suspension or a rest.
+        /// When the first suspension or back-off ends, if that is known.
         until: Option<Instant>,
     },
 }
 
-/// What an endpoint's change means for work that runs there.
+/// Consequence of an endpoint's state change for the work that runs there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Running work should move away before the time given.
+    /// Running work should move to another endpoint before `gone_at`.
     MoveWork {
         /// The endpoint that is leaving.
         endpoint: EndpointId,
-        /// When it is gone.
+        /// When it will be gone.
         gone_at: Instant,
     },
-    /// Running work there is lost.
+    /// Running work is lost.
     AbandonWork {
         /// The endpoint that is gone.
         endpoint: EndpointId,
     },
 }
 
-/// Notice assumed when the platform names none, the shortest that clouds give in practice.
-const NOTICE_DEFAULT: Duration = Duration::from_secs(5);
+/// Notice period assumed if the platform states none: the shortest that clouds give in practice.
+const DEFAULT_NOTICE: Duration = Duration::from_secs(5);
 
-/// Age from which a use of a kept prompt part is news to the other boxes again: often enough that a part in
-/// use never counts as forgotten.
-const PART_TOLD_AGAIN: Duration = Duration::from_secs(CACHED_PART_MAX_AGE.as_secs() / 2);
+/// Age from which another use of a cached prompt part is sent to the other boxes: often enough that
+/// a part in use never expires there.
+const PART_UPDATE_INTERVAL: Duration = Duration::from_secs(CACHED_PART_MAX_AGE.as_secs() / 2);
 
-/// Brought prompt parts that wait to be told; beyond it they are known to this box alone.
-const BROUGHT_MOST: usize = 4_096;
+/// Maximum new prompt parts queued for the other boxes; further ones are known to this box alone.
+const MAX_NEW_PARTS: usize = 4_096;
 
-/// How long an endpoint that has ended gets no work: longer than most take to start again, and each look at one that is
-/// gone costs a request its time and other endpoints an arrival.
-const ENDED_FOR: Duration = Duration::from_secs(10);
+/// Suspension of an endpoint that has exited: longer than most take to restart. Each attempt at one
+/// that is still gone delays a request and causes a retry at another endpoint.
+const EXIT_SUSPENSION: Duration = Duration::from_secs(10);
 
-/// How many times what boxes bring before they hear of each other the room in time must be for each box to place a
-/// request as is best for it.
-const AMPLE: f64 = 4.0;
+/// Minimum ratio of the free queue capacity of all endpoints to [`QueueLimit::unreported_tokens`]
+/// for each box to choose the endpoint that is best for its request. Below it, boxes draw at random
+/// (see [`Pool::filter_by_queue`]).
+const AMPLE_CAPACITY_RATIO: f64 = 4.0;
 
-/// What a refusal counts against one failure.
-const REFUSAL_WORTH: f64 = 0.5;
+/// Weight of a refusal in the recent failures, where a failure counts 1.
+const REFUSAL_WEIGHT: f64 = 0.5;
 
-/// The endpoints and the chooser.
+/// All endpoints, with the policy that chooses among them.
 #[derive(Debug)]
 pub struct Pool {
     endpoints: Vec<Endpoint>,
     chooser: Chooser,
+    /// Candidates of the current choice; kept to reuse the allocation.
     candidates: Vec<EndpointId>,
-    /// Prompt parts that requests of this box brought to endpoints where they were not known to be kept.
-    brought: Vec<(EndpointId, PartId)>,
+    /// Prompt parts that requests of this box used at endpoints where they did not count as cached,
+    /// to be sent to the other boxes.
+    new_parts: Vec<(EndpointId, PartId)>,
 }
 
 impl Pool {
-    /// A pool of `specs`, choosing by `policy` with random numbers from `seed`.
+    /// Creates a pool of `specs` that chooses by `policy` with random numbers from `seed`.
     pub fn new(specs: Vec<EndpointSpec>, policy: Policy, seed: u64) -> Self {
         Self {
             endpoints: specs.into_iter().map(Endpoint::new).collect(),
             chooser: Chooser::new(policy, Pcg64Mcg::seed_from_u64(seed)),
             candidates: Vec::new(),
-            brought: Vec::new(),
+            new_parts: Vec::new(),
         }
     }
 
-    /// Adds an endpoint.
+    /// Adds an endpoint and returns its id.
     pub fn add(&mut self, spec: EndpointSpec) -> EndpointId {
         self.endpoints.push(Endpoint::new(spec));
         self.endpoints.len() as EndpointId - 1
     }
 
-    /// Every endpoint, by id.
+    /// All endpoints, indexed by id.
     pub fn endpoints(&self) -> &[Endpoint] {
         &self.endpoints
     }
 
-    /// One endpoint.
+    /// The endpoint with the given id.
     pub fn get(&self, id: EndpointId) -> &Endpoint {
         &self.endpoints[id as usize]
     }
 
-    /// Applies what was seen of an endpoint.
+    /// Applies an event to an endpoint's state; appends the consequences for running work to `out`.
     pub fn handle(
         &mut self,
         now: Instant,
@@ -169,7 +173,7 @@
         for action in &step.actions {
             match action {
                 EndpointAction::MoveWork => {
-                    let gone_at = *endpoint.gone_at.get_or_insert(now + NOTICE_DEFAULT);
+                    let gone_at = *endpoint.gone_at.get_or_insert(now + DEFAULT_NOTICE);
                     out.push(Effect::MoveWork { endpoint: id, gone_at });
                 }
                 EndpointAction::AbandonWork => out.push(Effect::AbandonWork { endpoint: id }),
@@ -180,30 +184,31 @@
         }
     }
 
-    /// Notes that some box found an endpoint to have ended. It gets no work for `ENDED_FOR`, since it may have started
-    /// again at its address.
+    /// Records that some box found an endpoint's process to have exited. The endpoint gets no work
+    /// for `EXIT_SUSPENSION`; it is not removed, because it may restart at the same address.
     pub fn record_exit(&mut self, now: Instant, id: EndpointId, out: &mut Vec<Effect>) {
         self.handle(now, id, EndpointEvent::Failed, out);
         let endpoint = &mut self.endpoints[id as usize];
         if endpoint.state == EndpointState::Suspect {
-            endpoint.suspended_until = Some(now + ENDED_FOR);
+            endpoint.suspended_until = Some(now + EXIT_SUSPENSION);
         }
     }
 
-    /// Notes that an endpoint refused a request. It is not suspended for that, since it answers, but
+    /// Records that an endpoint refused a request. It is not suspended, because it responds, but
     /// others are preferred for a while.
     pub fn record_refusal(&mut self, now: Instant, id: EndpointId) {
-        self.endpoints[id as usize].recent_failures.add(now, REFUSAL_WORTH);
+        self.endpoints[id as usize].recent_failures.add(now, REFUSAL_WEIGHT);
     }
 
-    /// Notes that an endpoint wants nothing from this box before `until`. What it answers meanwhile ends no rest.
+    /// Sends an endpoint no work before `until`, because it asked this box to back off. Its
+    /// responses to open requests do not end the back-off.
     pub fn back_off(&mut self, id: EndpointId, until: Instant) {
         let endpoint = &mut self.endpoints[id as usize];
         endpoint.backoff_until = endpoint.backoff_until.max(Some(until));
     }
 
-    /// Marks an endpoint as leaving, to be gone at `gone_at`. A second notice can only bring the
-    /// time forward.
+    /// Marks an endpoint as leaving; it will be gone at `gone_at`. A further notice can only make
+    /// that time earlier.
     pub fn notice(
         &mut self,
         now: Instant,
@@ -218,10 +223,10 @@
         self.handle(now, id, EndpointEvent::Notice, out);
     }
 
-    /// Learns which instance of an endpoint's box is said to run; true if it is the current one.
+    /// Sets the instance of an endpoint's box that the platform lists; true if it is current.
     ///
-    /// The platform's list lags: it may name an instance that was replaced already, which must
-    /// not bring that one back. So an instance once replaced is remembered and never returns.
+    /// The platform's list lags: it may contain an instance that was replaced already. Replaced
+    /// instances are therefore remembered and never become current again.
     pub fn set_instance(
         &mut self,
         now: Instant,
@@ -233,55 +238,55 @@
         if endpoint.is_retired(instance) {
             return false;
         }
-        if endpoint.adopt(instance) {
+        if endpoint.replace_instance(instance) {
             self.handle(now, id, EndpointEvent::Replaced, out);
         }
         true
     }
 
-    /// The next time at which a leaving endpoint is gone.
+    /// The earliest time at which a leaving endpoint will be gone.
     pub fn next_deadline(&self) -> Option<Instant> {
         let leaving = self.endpoints.iter().filter(|e| e.state == EndpointState::Leaving);
         leaving.filter_map(|endpoint| endpoint.gone_at).min()
     }
 
-    /// Lets the endpoints whose time has come be gone.
+    /// Marks the leaving endpoints whose deadline has passed as gone.
     pub fn expire(&mut self, now: Instant, out: &mut Vec<Effect>) {
         for id in 0..self.endpoints.len() as EndpointId {
             let endpoint = self.get(id);
-            let over = endpoint.gone_at.is_some_and(|at| at <= now);
-            if over && endpoint.state == EndpointState::Leaving {
+            let is_due = endpoint.gone_at.is_some_and(|at| at <= now);
+            if is_due && endpoint.state == EndpointState::Leaving {
                 self.handle(now, id, EndpointEvent::Deadline, out);
             }
         }
     }
 
-    /// Chooses an endpoint. Endpoints of the home availability zone go first, then those not
-    /// tried before, then any. What is chosen counts against the limit that its endpoint names: every
-    /// attempt is chosen here, first ones, repeated ones and those that go on elsewhere.
+    /// Chooses an endpoint: from those in the home availability zone, else from those not tried
+    /// before, else from all. The choice counts against the endpoint's advertised limit; all
+    /// attempts are chosen here, including retries and those that resume a stream.
     pub fn choose(&mut self, now: Instant, query: Query<'_>) -> Choice {
-        let choice = self.choose_among_open(now, query);
+        let choice = self.choose_uncounted(now, query);
         if let Choice::Endpoint(id) = choice {
             self.endpoints[id as usize].gate.record_sent(query.sender);
         }
         choice
     }
 
-    fn choose_among_open(&mut self, now: Instant, query: Query<'_>) -> Choice {
+    fn choose_uncounted(&mut self, now: Instant, query: Query<'_>) -> Choice {
         let preferences: [fn(&Endpoint, bool, &Query<'_>) -> bool; 3] = [
             |endpoint, tried, query| !tried && endpoint.spec.availability_zone == query.home,
             |_, tried, _| !tried,
             |_, _, _| true,
         ];
-        // Where the way counts as work, it is weighed against the rest.
-        let weighed = self.chooser.policy() == Policy::ExpectedWork;
-        for preferred in preferences.into_iter().skip(usize::from(weighed)) {
-            self.collect(now, &query, preferred);
+        // This policy includes the network delay to other zones in the cost.
+        let is_distance_in_cost = self.chooser.policy() == Policy::ExpectedWork;
+        for preferred in preferences.into_iter().skip(usize::from(is_distance_in_cost)) {
+            self.collect_candidates(now, &query, preferred);
             if let Some(queue_limit) = query.queue_limit.filter(|_| !self.candidates.is_empty()) {
-                match self.keep_those_in_time(now, queue_limit, query.sender) {
-                    InTime::Some => {}
-                    InTime::One(id) => return Choice::Endpoint(id),
-                    InTime::None => return Choice::QueuesTooLong,
+                match self.filter_by_queue(now, queue_limit, query.sender) {
+                    QueueFilter::Filtered => {}
+                    QueueFilter::Drawn(id) => return Choice::Endpoint(id),
+                    QueueFilter::Rejected => return Choice::QueuesTooLong,
                 }
             }
             let candidates = &self.candidates;
@@ -289,10 +294,11 @@
                 return Choice::Endpoint(id);
             }
         }
-        self.nothing(now, &query)
+        self.no_endpoint(now, &query)
     }
 
-    fn collect(
+    /// Fills `candidates` with the endpoints that can accept the request and are `preferred`.
+    fn collect_candidates(
         &mut self,
         now: Instant,
         query: &Query<'_>,
@@ -311,79 +317,89 @@
         }
     }
 
-    /// Finds out whether a request can be in time and, if there is not enough room for all that comes, draws.
+    /// Removes candidates whose queues are too long for the request. If their free capacity is
+    /// scarce compared with the unreported tokens, decides by a random draw instead.
     ///
-    /// What boxes know of an endpoint's queue is old. If all of them turned to those that seem to have room, these
-    /// would be overrun before anyone hears of it: so a box takes no more than its part of the room that is left, and
-    /// spreads it as the room is spread.
+    /// What a box knows of an endpoint's queue is outdated. If all boxes sent to the endpoints that
+    /// seem to have free capacity, these would be overloaded before any box received an update. A
+    /// box therefore uses no more than its share of the free capacity, and draws an endpoint with
+    /// a probability proportional to the endpoint's free capacity.
     ///
-    /// What a limit leaves to this box is no other's, so there is nothing to draw.
-    fn keep_those_in_time(
+    /// A box's share of an advertised limit is used by no other box, so endpoints with a limit need
+    /// no draw.
+    fn filter_by_queue(
         &mut self,
         now: Instant,
         queue_limit: QueueLimit,
         sender: Sender,
-    ) -> InTime {
-        let most = queue_limit.max_wait.as_secs_f64() / queue_limit.seconds_per_token;
-        let ahead = |id: EndpointId| expected::tokens_ahead(&self.endpoints[id as usize], now);
-        let room = |id: EndpointId| most - ahead(id) as f64;
-        let rooms: Vec<f64> = self.candidates.iter().map(|id| room(*id)).collect();
-        let all: f64 = rooms.iter().map(|room| room.max(0.0)).sum();
-        if all > AMPLE * queue_limit.unreported_tokens {
-            let mut rooms = rooms.iter();
-            self.candidates.retain(|_| rooms.next().is_some_and(|room| *room > 0.0));
-            return InTime::Some;
+    ) -> QueueFilter {
+        let max_tokens = queue_limit.max_wait.as_secs_f64() / queue_limit.seconds_per_token;
+        let queued =
+            |id: EndpointId| expected::outstanding_tokens(&self.endpoints[id as usize], now);
+        let free = |id: EndpointId| max_tokens - queued(id) as f64;
+        let free_tokens: Vec<f64> = self.candidates.iter().map(|id| free(*id)).collect();
+        let total_free: f64 = free_tokens.iter().map(|free| free.max(0.0)).sum();
+        if total_free > AMPLE_CAPACITY_RATIO * queue_limit.unreported_tokens {
+            let mut free_tokens = free_tokens.iter();
+            self.candidates.retain(|_| free_tokens.next().is_some_and(|free| *free > 0.0));
+            return QueueFilter::Filtered;
         }
-        let is_own = |id: EndpointId| self.endpoints[id as usize].gate.is_limited(sender.now);
-        let with_room = self.candidates.iter().zip(&rooms).filter(|(_, room)| **room > 0.0);
-        let own: Vec<EndpointId> = with_room.map(|(id, _)| *id).filter(|id| is_own(*id)).collect();
-        if !own.is_empty() {
-            self.candidates = own;
-            return InTime::Some;
+        let is_limited = |id: EndpointId| self.endpoints[id as usize].gate.is_limited(sender.now);
+        let with_free = self.candidates.iter().zip(&free_tokens).filter(|(_, free)| **free > 0.0);
+        let limited: Vec<EndpointId> =
+            with_free.map(|(id, _)| *id).filter(|id| is_limited(*id)).collect();
+        if !limited.is_empty() {
+            self.candidates = limited;
+            return QueueFilter::Filtered;
         }
-        if self.chooser.draw() * queue_limit.unreported_tokens.max(all) >= all {
-            return InTime::None;
+        if self.chooser.random_fraction() * queue_limit.unreported_tokens.max(total_free)
+            >= total_free
+        {
+            return QueueFilter::Rejected;
         }
-        let mut left = self.chooser.draw() * all;
+        let mut left = self.chooser.random_fraction() * total_free;
         let mut drawn = None;
-        for (id, room) in self.candidates.iter().zip(&rooms).filter(|(_, room)| **room > 0.0) {
+        for (id, free) in self.candidates.iter().zip(&free_tokens).filter(|(_, free)| **free > 0.0)
+        {
             drawn = Some(*id);
-            left -= room;
+            left -= free;
             if left <= 0.0 {
                 break;
             }
         }
-        drawn.map_or(InTime::None, InTime::One)
+        drawn.map_or(QueueFilter::Rejected, QueueFilter::Drawn)
     }
 
-    fn nothing(&self, now: Instant, query: &Query<'_>) -> Choice {
+    /// Determines the result of a query that no endpoint can serve at present.
+    fn no_endpoint(&self, now: Instant, query: &Query<'_>) -> Choice {
         let of_service = || self.endpoints.iter().filter(|e| e.spec.service == query.service);
         let mut takes_work = of_service().filter(|endpoint| endpoint.takes_work(now)).peekable();
         if takes_work.peek().is_some() {
             let is_limited = takes_work.all(|endpoint| !endpoint.gate.is_open(query.sender));
             return if is_limited { Choice::Limited } else { Choice::Full };
         }
-        let first = self.first_to_take_work(query.service);
-        Choice::Unavailable { until: first.and_then(Endpoint::takes_work_from) }
+        let first = self.first_available(query.service);
+        Choice::Unavailable { until: first.and_then(Endpoint::available_from) }
     }
 
-    /// When a service's first endpoint is over its rest, if all want nothing until then. A suspension is this box's guess, and
-    /// no such time.
+    /// When the first back-off among a service's endpoints ends, if none accepts work before. None
+    /// if a suspension ends last at that endpoint: a suspension is only this box's estimate.
     pub fn backoff_until(&self, service: ServiceId) -> Option<Instant> {
-        let first = self.first_to_take_work(service)?;
-        first.backoff_until.filter(|rest| Some(*rest) >= first.suspended_until)
+        let first = self.first_available(service)?;
+        first.backoff_until.filter(|backoff| Some(*backoff) >= first.suspended_until)
     }
 
-    /// The endpoint of a service that waits for the shortest time, be it for a rest or a suspension.
-    fn first_to_take_work(&self, service: ServiceId) -> Option<&Endpoint> {
+    /// Returns the endpoint of a service whose suspension and back-off end first.
+    fn first_available(&self, service: ServiceId) -> Option<&Endpoint> {
         let stays =
             |e: &&Endpoint| matches!(e.state, EndpointState::Serving | EndpointState::Suspect);
         let of_service = self.endpoints.iter().filter(|e| e.spec.service == service);
-        of_service.filter(stays).min_by_key(|endpoint| endpoint.takes_work_from())
+        of_service.filter(stays).min_by_key(|endpoint| endpoint.available_from())
     }
 
-    /// Counts an attempt that begins: `tokens` of work, or what the endpoint must read of a prompt.
-    /// The shared parts of the prompt will be kept there. Returns the tokens that were counted.
+    /// Counts an attempt that starts, with the uncached tokens of `work` or, without it, with
+    /// `tokens`. The shared parts of the prompt then count as cached there. Returns the tokens that
+    /// were counted.
     pub fn begin_attempt(
         &mut self,
         now: Instant,
@@ -392,35 +408,35 @@
         work: Option<&Work>,
     ) -> u64 {
         let endpoint = &mut self.endpoints[id as usize];
-        let tokens = work.map_or(tokens, |work| expected::unread(endpoint, work, now));
+        let tokens = work.map_or(tokens, |work| expected::uncached_tokens(endpoint, work, now));
         endpoint.open += 1;
         endpoint.open_tokens += tokens;
         for part in work.map_or(&[][..], Work::shared) {
             let before = endpoint.cached_parts.insert(part.id, now);
-            let is_news = before.is_none_or(|at| now >= at + PART_TOLD_AGAIN);
-            if is_news && self.brought.len() < BROUGHT_MOST {
-                self.brought.push((id, part.id));
+            let is_update_due = before.is_none_or(|at| now >= at + PART_UPDATE_INTERVAL);
+            if is_update_due && self.new_parts.len() < MAX_NEW_PARTS {
+                self.new_parts.push((id, part.id));
             }
         }
-        endpoint.forget_parts(now);
+        endpoint.remove_expired_parts(now);
         tokens
     }
 
-    /// Prompt parts that requests of this box brought to endpoints since this was last asked, where that is
-    /// news to the other boxes.
+    /// Returns the prompt parts to send to the other boxes: those that requests of this box used at
+    /// endpoints since the last call and that would not count as cached there, or would soon expire.
     pub fn take_new_parts(&mut self) -> Vec<(EndpointId, PartId)> {
-        std::mem::take(&mut self.brought)
+        std::mem::take(&mut self.new_parts)
     }
 
-    /// Learns that requests of other boxes brought prompt parts to an endpoint.
+    /// Records prompt parts that requests of other boxes used at an endpoint.
     pub fn record_cached_parts(&mut self, now: Instant, id: EndpointId, parts: &[PartId]) {
         let endpoint = &mut self.endpoints[id as usize];
         endpoint.cached_parts.extend(parts.iter().map(|part| (*part, now)));
-        endpoint.forget_parts(now);
+        endpoint.remove_expired_parts(now);
     }
 
-    /// Counts that the answer of an attempt begins to arrive; `tokens` as [`Pool::begin_attempt`] returned
-    /// them.
+    /// Records that the response of an attempt starts to arrive; `tokens` as returned by
+    /// [`Pool::begin_attempt`].
     pub fn begin_response(&mut self, now: Instant, id: EndpointId, tokens: u64) {
         let endpoint = &mut self.endpoints[id as usize];
         endpoint.open_tokens -= tokens;
@@ -428,32 +444,32 @@
         endpoint.last_progress = Some(now);
     }
 
-    /// Notes that a piece of an answer arrived from an endpoint.
+    /// Records that data of a response arrived from an endpoint.
     pub fn record_progress(&mut self, now: Instant, id: EndpointId) {
         self.endpoints[id as usize].last_progress = Some(now);
     }
 
-    /// Counts an attempt that ended, with `tokens` of work that had not begun; `arriving` if its
-    /// answer had begun to arrive.
-    pub fn end_attempt(&mut self, id: EndpointId, tokens: u64, arriving: bool) {
+    /// Counts an attempt that ended; `tokens` are its outstanding tokens, and `responding` says
+    /// whether its response had started to arrive.
+    pub fn end_attempt(&mut self, id: EndpointId, tokens: u64, responding: bool) {
         let endpoint = &mut self.endpoints[id as usize];
         endpoint.open -= 1;
         endpoint.open_tokens -= tokens;
-        endpoint.responding -= u32::from(arriving);
+        endpoint.responding -= u32::from(responding);
     }
 
-    /// Whether an endpoint seems to be out of reach: its answers have stopped arriving, or there
-    /// are none and those of all others in its availability zone have.
+    /// Whether an endpoint is unresponsive: its responses have stopped arriving, or it has none
+    /// open and those of all others in its availability zone have stopped.
     pub fn is_unresponsive(&self, now: Instant, id: EndpointId) -> bool {
-        SilentZones::of(&self.endpoints, now).covers(self.get(id), now)
+        UnresponsiveZones::of(&self.endpoints, now).covers(self.get(id), now)
     }
 
-    /// Puts in force what an endpoint named as its limit.
-    pub fn set_limit(&mut self, id: EndpointId, named: AdvertisedLimit) {
-        self.endpoints[id as usize].gate.set_limit(named);
+    /// Applies a limit that an endpoint advertised.
+    pub fn set_limit(&mut self, id: EndpointId, limit: AdvertisedLimit) {
+        self.endpoints[id as usize].gate.set_limit(limit);
     }
 
-    /// Learns what the other entry boxes have open at an endpoint.
+    /// Sets the load from the other entry boxes at an endpoint.
     pub fn set_others_load(&mut self, now: Instant, id: EndpointId, load: Load) {
         let endpoint = &mut self.endpoints[id as usize];
         endpoint.others_load = load;
@@ -461,12 +477,12 @@
     }
 }
 
-/// Which candidates can bring a request's first event in time.
-enum InTime {
-    /// Those that are left, and there is ample room for what all boxes bring meanwhile.
-    Some,
-    /// This one, drawn from those that can.
-    One(EndpointId),
-    /// None, or only for a part of what comes, and the draw fell on others.
-    None,
+/// Result of [`Pool::filter_by_queue`].
+enum QueueFilter {
+    /// The remaining candidates meet the limit, and any of them may be chosen.
+    Filtered,
+    /// Capacity is scarce, and this endpoint was drawn.
+    Drawn(EndpointId),
+    /// No candidate meets the limit, or capacity is scarce and the draw rejected the request.
+    Rejected,
 }
--- a/crates/vaneway-route/src/silence.rs
+++ b/crates/vaneway-route/src/silence.rs
@@ -1,59 +1,59 @@
-//! Endpoints that seem to be out of reach, by the answers that should be arriving from them.
+//! Detects unresponsive endpoints from the responses that should be arriving from them.
 //!
-//! Why: a box without power or behind a cut says nothing, so that requests sent there hang until
-//! their deadline. Streams of events are a free probe: where some are under way and none of them
-//! moves, something is wrong. A cut takes a whole availability zone, so what is seen of some
-//! endpoints of a zone is taken to hold for those of which nothing can be seen.
+//! Why: a box that has lost power or its network connection sends nothing, so requests sent there
+//! hang until their deadline. Event streams are a free probe: if some are in progress and none of
+//! them makes progress, something is wrong. A network partition affects a whole availability zone,
+//! so the observations of some endpoints of a zone are applied to those without streams.
 //!
-//! Where everything is silent, it may well be this box that stood still. Silence therefore only
-//! makes endpoints worth less than others and never excludes them.
+//! If all endpoints appear unresponsive, it may be this box that was paused. Unresponsive endpoints
+//! are therefore only ranked below others and never excluded.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::Endpoint;
 
-/// Pause in all of an endpoint's answers after which it counts as silent: engines under load make a
-/// piece of some answer every few ten milliseconds.
+/// Time without data in any of an endpoint's responses after which it counts as unresponsive:
+/// engines under load send a chunk of some response every few tens of milliseconds.
 pub const UNRESPONSIVE_THRESHOLD: Duration = Duration::from_millis(400);
 
-/// What is seen of the endpoints of one availability zone.
+/// State of one availability zone from which responses are arriving.
 #[derive(Debug)]
 struct Zone<'a> {
     name: &'a str,
-    /// Whether some answer of the zone moves.
-    heard: bool,
+    /// Whether data of some response from the zone arrived recently.
+    is_responsive: bool,
 }
 
-/// What is seen of the availability zones from which answers should be arriving.
+/// State of the availability zones from which responses are arriving.
 #[derive(Debug)]
-pub(crate) struct SilentZones<'a>(Vec<Zone<'a>>);
+pub(crate) struct UnresponsiveZones<'a>(Vec<Zone<'a>>);
 
-/// Whether all answers of an endpoint have stopped; none if there are none.
+/// Whether all responses from an endpoint have stopped; none if there are no responses.
 fn is_unresponsive(endpoint: &Endpoint, now: Instant) -> Option<bool> {
-    endpoint.silence(now).map(|silence| silence >= UNRESPONSIVE_THRESHOLD)
+    endpoint.time_since_progress(now).map(|time| time >= UNRESPONSIVE_THRESHOLD)
 }
 
-impl<'a> SilentZones<'a> {
-    /// What is seen at `now`.
+impl<'a> UnresponsiveZones<'a> {
+    /// Determines the state of each zone at `now`.
     pub(crate) fn of(endpoints: &'a [Endpoint], now: Instant) -> Self {
         let mut zones: Vec<Zone<'a>> = Vec::new();
         for endpoint in endpoints {
-            let Some(silent) = is_unresponsive(endpoint, now) else { continue };
+            let Some(is_unresponsive) = is_unresponsive(endpoint, now) else { continue };
             let name = endpoint.spec.availability_zone.as_str();
             match zones.iter_mut().find(|zone| zone.name == name) {
-                Some(zone) => zone.heard |= !silent,
-                None => zones.push(Zone { name, heard: !silent }),
+                Some(zone) => zone.is_responsive |= !is_unresponsive,
+                None => zones.push(Zone { name, is_responsive: !is_unresponsive }),
             }
         }
         Self(zones)
     }
 
-    /// Whether an endpoint counts as silent.
+    /// Whether an endpoint counts as unresponsive, by its own responses or else by its zone.
     pub(crate) fn covers(&self, endpoint: &Endpoint, now: Instant) -> bool {
         let of_zone = || {
             let zone = self.0.iter().find(|zone| zone.name == endpoint.spec.availability_zone);
-            zone.is_some_and(|zone| !zone.heard)
+            zone.is_some_and(|zone| !zone.is_responsive)
         };
         is_unresponsive(endpoint, now).unwrap_or_else(of_zone)
     }
