--- a/crates/vaneway-server/src/core/endpoints/link.rs
+++ b/crates/vaneway-server/src/core/endpoints/link.rs
@@ -1,13 +1,14 @@
-//! A connection to an endpoint that is driven by whoever uses it.
+//! An HTTP connection to an endpoint that is polled by its user, not by a separate task.
 //!
-//! Why not by a task of its own: hyper hands a body over one chunk at a time, so a task between
-//! the socket and the reader costs two task switches and, further down, one write to the caller
-//! for each chunk. Driven in place, all chunks of one read arrive in one poll and leave in one
-//! write. The figures before and after stand in docs/EXPERIMENTS.md.
+//! Why: hyper passes a body on one chunk at a time, so a task between the socket and the reader
+//! costs two task switches and, further down, one write to the caller for each chunk. Polled in
+//! place, all chunks of one read arrive in one poll and are forwarded in one write. Measurements of
+//! both are in docs/EXPERIMENTS.md.
 //!
-//! Data flow: [`Connection::send`] writes a request and returns the head of the answer with a
-//! [`ConnectionBody`]; its frames drive the connection; once the body has ended, [`ConnectionBody::into_connection`]
-//! gives the connection back for the next request. Dropping either closes the connection.
+//! Data flow: [`Connection::send`] writes a request and returns the head of the response with a
+//! [`ConnectionBody`]. Polling the body drives the connection. After the end of the body,
+//! [`ConnectionBody::into_connection`] returns the connection for the next request. Dropping either
+//! closes the connection.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -30,10 +31,10 @@
 
 use crate::util::socket::SocketStream;
 
-/// A request as endpoints get it.
+/// A request as it is sent to an endpoint.
 pub type EndpointRequest = Request<Full<Bytes>>;
 
-/// Size of a connection's read buffer: dozens of tokens, and half of what hyper takes by itself.
+/// Size of a connection's read buffer: dozens of tokens, and half of hyper's default.
 const READ_BYTES: usize = 4_096;
 
 type HttpConnection = http1::Connection<SocketStream, Full<Bytes>>;
@@ -42,24 +43,26 @@
 #[derive(Debug)]
 pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
+    /// Future that performs the connection's I/O.
     driver: Pin<Box<HttpConnection>>,
+    /// Whether `driver` has completed.
     closed: bool,
 }
 
 impl Connection {
-    /// Prepares a connected socket for requests.
+    /// Creates an HTTP connection on a connected socket.
     ///
     /// # Errors
     ///
-    /// If hyper can't set the connection up.
+    /// If hyper's handshake fails.
     pub async fn open(stream: SocketStream) -> hyper::Result<Self> {
         let (sender, driver) =
             http1::Builder::new().read_buf_exact_size(Some(READ_BYTES)).handshake(stream).await?;
         Ok(Self { sender, driver: Box::pin(driver), closed: false })
     }
 
-    /// Whether another request can be sent. Looks at the socket, so that a connection which the
-    /// endpoint closed while it was idle is found before a request is lost on it.
+    /// Whether another request can be sent. Polls the socket, to detect that the endpoint closed
+    /// the idle connection before a request is lost on it.
     pub fn is_ready(&mut self) -> bool {
         self.drive(&mut Context::from_waker(Waker::noop()));
         !self.closed && self.sender.is_ready()
@@ -71,11 +74,11 @@
         }
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// hyper's error, which holds the request if none of it was written.
+    /// hyper's error, which contains the request if none of it was written.
     pub async fn send(
         mut self,
         req: EndpointRequest,
@@ -93,30 +96,30 @@
         })
         .await;
         let response = response.map_err(Box::new)?;
-        Ok(response.map(|body| ConnectionBody { link: self, body }))
+        Ok(response.map(|body| ConnectionBody { connection: self, body }))
     }
 }
 
-/// The body of an answer, with the connection that it arrives on.
+/// The body of a response, with the connection on which it arrives.
 #[derive(Debug)]
 pub struct ConnectionBody {
-    link: Connection,
+    connection: Connection,
     body: Incoming,
 }
 
 impl ConnectionBody {
-    /// The next piece of data; none at the end.
+    /// Polls for the next chunk of data; none at the end.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<hyper::Result<Bytes>>> {
         loop {
             let mut frame = Pin::new(&mut self.body).poll_frame(cx);
             if frame.is_pending() {
-                self.link.drive(cx);
+                self.connection.drive(cx);
                 frame = Pin::new(&mut self.body).poll_frame(cx);
             }
             return match std::task::ready!(frame) {
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) => Poll::Ready(Some(Ok(data))),
-                    // Trailers carry nothing that this product uses.
+                    // Trailers are not used.
                     Err(_trailers) => continue,
                 },
                 Some(Err(error)) => Poll::Ready(Some(Err(error))),
@@ -125,43 +128,44 @@
         }
     }
 
-    /// Waits for the next piece of data; none at the end.
+    /// Waits for the next chunk of data; none at the end.
     pub async fn data(&mut self) -> Option<hyper::Result<Bytes>> {
         poll_fn(|cx| self.poll_data(cx)).await
     }
 
-    /// Reads on until the end or until more than `limit` bytes are held; true at the end.
+    /// Appends data to `buffer` until the end of the body or until the buffer exceeds `limit`
+    /// bytes; true at the end of the body.
     ///
     /// # Errors
     ///
-    /// hyper's error if the body breaks off.
-    pub async fn read_into(&mut self, held: &mut BytesMut, limit: usize) -> hyper::Result<bool> {
-        while held.len() <= limit {
+    /// hyper's error if the body is truncated.
+    pub async fn read_into(&mut self, buffer: &mut BytesMut, limit: usize) -> hyper::Result<bool> {
+        while buffer.len() <= limit {
             match self.data().await {
-                Some(data) => held.extend_from_slice(&data?),
+                Some(data) => buffer.extend_from_slice(&data?),
                 None => return Ok(true),
             }
         }
         Ok(false)
     }
 
-    /// The connection, to be used again. Only after the end of the body is it of use.
+    /// Returns the connection. It can be reused only after the end of the body.
     pub fn into_connection(self) -> Connection {
-        self.link
+        self.connection
     }
 }
 
-/// A body that a stream reads while its owner keeps the connection.
+/// A shared body: a stream reads it while its owner retains the connection.
 #[derive(Debug, Clone)]
 pub struct SharedBody(Rc<RefCell<ConnectionBody>>);
 
 impl SharedBody {
-    /// Shares `body`.
+    /// Makes `body` shareable.
     pub fn new(body: ConnectionBody) -> Self {
         Self(Rc::new(RefCell::new(body)))
     }
 
-    /// The body, if this is the last to hold it.
+    /// Returns the body if this is the last reference to it.
     pub fn into_body(self) -> Option<ConnectionBody> {
         Rc::into_inner(self.0).map(RefCell::into_inner)
     }
--- a/crates/vaneway-server/src/core/endpoints/mod.rs
+++ b/crates/vaneway-server/src/core/endpoints/mod.rs
@@ -1,4 +1,4 @@
-//! Towards endpoints: protocols, attempts and connections.
+//! Protocols, connections and attempts to endpoints, and the endpoints that registered themselves.
 
 pub mod link;
 pub mod protocol;
--- a/crates/vaneway-server/src/core/endpoints/protocol.rs
+++ b/crates/vaneway-server/src/core/endpoints/protocol.rs
@@ -1,7 +1,7 @@
-//! How requests are put to endpoints and what their answers mean.
+//! Builds requests to endpoints and interprets their responses.
 //!
-//! Why a trait: the decisions over a request are the same whatever its endpoint speaks. What
-//! differs are the headers, and how an endpoint says that it did not run a request.
+//! Why a trait: the handling of a request does not depend on the protocol of its endpoint. Only the
+//! headers differ, and the way in which an endpoint reports that it did not run a request.
 
 use std::time::Duration;
 
@@ -36,14 +36,14 @@
 use crate::core::callers::api_error::RUN_HEADER;
 use crate::core::endpoints::link::EndpointRequest;
 
-/// Header of an answer in which an endpoint names the requests a second that it takes from all entry boxes together, for as
-/// long as it says so.
+/// Response header in which an endpoint advertises how many requests per second it accepts from all
+/// entry boxes together. The limit is in force until a response no longer has the header.
 pub const LIMIT_HEADER: HeaderName = HeaderName::from_static("x-vaneway-limit");
 
-/// Header of an answer in which an endpoint says that it leaves: `1`.
+/// Response header in which an endpoint announces that it is leaving, with the value `1`.
 pub const LEAVING_HEADER: HeaderName = HeaderName::from_static("x-vaneway-leaving");
 
-/// Headers that belong to one connection and do not pass through.
+/// Headers that apply to a single connection and are not forwarded.
 pub const HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -56,150 +56,159 @@
     CONTENT_LENGTH,
 ];
 
-/// A checked request to a service, as the caller sent it.
+/// A validated request from a caller to a service.
 #[derive(Debug, Clone)]
 pub struct CallRequest {
-    /// Its id.
+    /// The request's id.
     pub id: String,
-    /// The service that must answer.
+    /// The service that must respond.
     pub service: ServiceId,
     /// The service's name, for logs and metrics.
     pub service_name: String,
     /// The organisation that sent it; empty where callers need no key.
     pub organisation: String,
-    /// The host or the service that the caller named, which stays the same while routes move to other services.
+    /// The host or service to which the caller addressed the request. It stays the same when routes
+    /// move to other services.
     pub addressed_to: String,
     /// The method.
     pub method: Method,
-    /// Path and query as the endpoint gets them.
+    /// Path and query as sent to the endpoint.
     pub path: String,
     /// The caller's headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// What its answer looks like.
+    /// The form of its response.
     pub form: AnswerForm,
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// Its rank at the engine, 0 first, if it has one.
+    /// Its priority at the engine, 0 being the highest, if it has one.
     pub priority: Option<u32>,
-    /// What it will cost an endpoint, if it is for a model.
+    /// Its estimated cost to an endpoint, if it is a request to a model.
     pub work: Option<Work>,
     /// Hash of the prompt's shared beginning; 0 if there is none.
     pub prefix: u64,
 }
 
-/// One sending of a request.
+/// Parameters of one attempt at a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Dispatch<'a> {
-    /// Where to.
+    /// The endpoint that gets the request.
     pub endpoint: &'a EndpointSpec,
     /// Time that the endpoint may use.
     pub time_left: Duration,
-    /// Number of the last event that the caller has, if a stream goes on.
+    /// Number of the last event that the caller has received, if a stream is resumed.
     pub resume_after: Option<u32>,
 }
 
-/// What the head of an answer means.
+/// Meaning of the head of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// It begins the answer to this request.
+    /// It is the head of the response to this request.
     Answer,
     /// The endpoint did not run the request.
     Refused,
     /// Another endpoint has the address now; it did not run the request.
     Replaced,
-    /// It is no answer to this request.
+    /// It is not a response to this request.
     Mismatched,
 }
 
-/// What endpoints speak.
+/// A protocol between entry boxes and endpoints.
 pub trait EndpointProtocol: 'static {
-    /// The request as the endpoint gets it.
+    /// Builds the request to send to the endpoint.
     fn request(&self, call: &CallRequest, dispatch: Dispatch<'_>) -> EndpointRequest;
 
-    /// What the head of an answer means.
+    /// Determines the meaning of the head of a response.
     fn classify(&self, call: &CallRequest, head: &response::Parts) -> ResponseKind;
 
-    /// Requests a second that the endpoint takes from all entry boxes together, if the head of an answer names that.
+    /// Parses the limit that the head of a response advertises, if any.
+    ///
+    /// # Errors
+    ///
+    /// If the limit is not a valid number.
     fn advertised_limit(&self, headers: &HeaderMap) -> Result<Option<Rate>, NumberError>;
 
-    /// Whether the head of an answer says that its endpoint leaves.
+    /// Whether the head of a response announces that its endpoint is leaving.
     fn is_leaving(&self, headers: &HeaderMap) -> bool;
 
-    /// Prepares the headers of an answer for the caller.
+    /// Prepares the headers of a response for the caller.
     fn prepare_headers(&self, headers: &mut HeaderMap);
 }
 
-/// Reads a limit from the header `name`. Of several the lowest counts; if one of them can't be read, none does.
+/// Parses a limit from the header `name`. Of several values, the lowest applies.
+///
+/// # Errors
+///
+/// If one of the values is not a valid number.
 pub fn parse_limit(headers: &HeaderMap, name: &HeaderName) -> Result<Option<Rate>, NumberError> {
     Ok(parse_each(headers, name, str::parse)?.into_iter().min())
 }
 
-/// Reads all that the headers `name` hold, each of which may hold several with commas between them.
+/// Parses all values of the headers `name`, each of which may contain several separated by commas.
 ///
 /// # Errors
 ///
-/// If one of them can't be read.
+/// If one of the values can't be parsed.
 pub fn parse_each<T>(
     headers: &HeaderMap,
     name: &HeaderName,
-    read: fn(&str) -> Result<T, NumberError>,
+    parse: fn(&str) -> Result<T, NumberError>,
 ) -> Result<Vec<T>, NumberError> {
     let mut all = Vec::new();
     for value in headers.get_all(name) {
         let text = value.to_str().ok().ok_or(NumberError::NotANumber)?;
         for part in text.split(',') {
-            all.push(read(part)?);
+            all.push(parse(part)?);
         }
     }
     Ok(all)
 }
 
-/// Whether the header `name` says yes: `1`.
+/// Whether the header `name` has the value `1`.
 pub fn has_flag(headers: &HeaderMap, name: &HeaderName) -> bool {
     headers.get_all(name).iter().any(|value| value.as_bytes().trim_ascii() == b"1")
 }
 
-/// Copies the headers that pass through: all but those of one connection and those in `own`,
-/// which this box sets itself.
+/// Copies the headers to forward: all but those of one connection and those in `own`, which this
+/// box sets itself.
 pub fn copy_headers(builder: Builder, headers: &HeaderMap, own: &[HeaderName]) -> Builder {
-    let named: Vec<String> = headers
+    let connection_headers: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let passes = |name: &&HeaderName| {
+    let is_forwarded = |name: &&HeaderName| {
         !own.iter().any(|own| is_same_name(own, name))
             && !HOP_HEADERS.contains(name)
-            && !named.iter().any(|listed| listed == name.as_str())
+            && !connection_headers.iter().any(|listed| listed == name.as_str())
     };
     let add = |builder: Builder, name| {
         let values = headers.get_all(name).iter();
         values.fold(builder, |builder, value| builder.header(name, value))
     };
-    headers.keys().filter(passes).fold(builder, add)
+    headers.keys().filter(is_forwarded).fold(builder, add)
 }
 
-/// Whether two names may be taken for the same header: some servers read an underscore as a hyphen.
+/// Whether a server may treat two names as the same header: some read an underscore as a hyphen.
 fn is_same_name(a: &HeaderName, b: &HeaderName) -> bool {
     let folded = |name: &HeaderName| name.as_str().replace('_', "-");
     a == b || (b.as_str().contains('_') && folded(a) == folded(b))
 }
 
-/// Takes the headers of one connection out of an answer.
+/// Removes the headers of one connection from a response.
 pub fn remove_hop_headers(headers: &mut HeaderMap) {
     for name in HOP_HEADERS {
         headers.remove(name);
     }
 }
 
-/// The product's own way to speak to plain services.
+/// The native protocol for plain services.
 #[derive(Debug, Clone)]
 pub struct PlainEndpoints {
-    /// Header with which an endpoint says that it did not run a call it answers with 503.
+    /// Header by which an endpoint reports that it did not run a request to which it responds 503.
     pub not_run_header: Option<String>,
 }
 
--- a/crates/vaneway-server/src/core/endpoints/registered.rs
+++ b/crates/vaneway-server/src/core/endpoints/registered.rs
@@ -1,8 +1,9 @@
-//! Endpoints that registered themselves, as this entry box uses them.
+//! Applies the registrations of endpoints to the pool of this entry box.
 //!
-//! Reports arrive from any control box, in any order; the registry says what is news. A new
-//! endpoint joins the pool; one that drains or ends gets no new work; what runs there goes on until
-//! its connection breaks, since endpoints that leave finish what they have.
+//! Reports arrive from any control box, in any order; the registry determines which of them change
+//! anything. A new endpoint is added to the pool. One that is draining or gone gets no new work;
+//! requests that run there continue until their connection breaks, because endpoints that leave
+//! finish their open requests.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,20 +23,20 @@
 use crate::util::clock;
 use crate::util::logline::Line;
 
-/// How long an endpoint that leaves without naming a time may finish what it has.
-const FINISH_WITHIN: Duration = Duration::from_mins(2);
+/// Time that an endpoint has to finish its open requests if it leaves without stating a deadline.
+const DRAIN_TIMEOUT: Duration = Duration::from_mins(2);
 
-/// How long an endpoint that the settings name gets nothing after it has said that it leaves: longer than most take to start
-/// again.
-const ASK_AGAIN_AFTER: Duration = Duration::from_secs(10);
+/// Back-off of an endpoint from the settings after it announced that it is leaving: longer than
+/// most take to restart.
+const RESTART_BACKOFF: Duration = Duration::from_secs(10);
 
-/// Requests that an endpoint queues for each one that it works on; more are not sent there.
-const QUEUED_A_SLOT: u32 = 2;
+/// Maximum queued requests for each one that an endpoint is running; more are not sent there.
+const MAX_QUEUED_PER_SLOT: u32 = 2;
 
-/// Time after its start in which an entry box may not have heard of all endpoints yet.
-const STARTED_WITHIN: Duration = Duration::from_secs(10);
+/// Time after its start during which an entry box may not know all endpoints yet.
+const STARTUP_TIME: Duration = Duration::from_secs(10);
 
-/// Applies reports of a control box.
+/// Applies reports from a control box.
 pub fn apply(entry: &Entry, reports: &[Report]) {
     let now = clock::now();
     for report in reports {
@@ -49,13 +50,13 @@
             if born_before > 0 && known.born > born_before {
                 abandon(entry, &report.instance);
             }
-            apply_news(entry, &report.instance, &known);
+            apply_update(entry, &report.instance, &known);
         }
     }
 }
 
-/// Gives up an endpoint that has started again: what ran there is lost, and what it kept too. The incarnation
-/// that runs now joins the pool as another endpoint.
+/// Removes an endpoint whose process has restarted: its running requests and its cache are lost.
+/// The new incarnation is added to the pool as another endpoint.
 fn abandon(entry: &Entry, instance: &InstanceId) {
     let Some(endpoint) = entry.registered.borrow_mut().remove(instance) else { return };
     Line::new("endpoint_reborn").with("replica", instance).info();
@@ -65,15 +66,15 @@
     });
 }
 
-/// Uses endpoints that were ready before all boxes went down, unless this box has heard of any
-/// since; those that are not heard of within `left` are used no more.
+/// Adds endpoints that were ready before all boxes went down, but for those that have reported
+/// since. Those that have not reported within `left` get no new work after it.
 pub fn add_remembered(entry: &Rc<Entry>, reports: &[Report], left: Duration) {
-    if entry.uptime() > STARTED_WITHIN {
+    if entry.uptime() > STARTUP_TIME {
         return;
     }
     let unknown = |report: &&Report| {
-        let heard_of = entry.registry.borrow().get(&report.instance).is_some();
-        !heard_of && !entry.registered.borrow().contains_key(&report.instance)
+        let has_reported = entry.registry.borrow().get(&report.instance).is_some();
+        !has_reported && !entry.registered.borrow().contains_key(&report.instance)
     };
     let added = reports.iter().filter(unknown).filter_map(|report| {
         let endpoint = add(entry, &report.instance, report.details.as_ref()?);
@@ -85,34 +86,34 @@
     }
     Line::new("endpoints_remembered").with("count", added.len()).info();
     let entry = Rc::clone(entry);
-    let forgetting = async move {
+    let expiry = async move {
         entry.timers.sleep(left).await;
         for (instance, endpoint) in added {
-            forget(&entry, &instance, endpoint);
+            expire(&entry, &instance, endpoint);
         }
     };
-    compio::runtime::spawn(forgetting).detach();
+    compio::runtime::spawn(expiry).detach();
 }
 
-/// Gives a remembered endpoint no more work if nothing was heard of it. What it has may finish, since
-/// it answers, and if it is heard of later it is a new one here.
-fn forget(entry: &Entry, instance: &InstanceId, endpoint: EndpointId) {
+/// Stops sending work to a remembered endpoint that has not reported. Its open requests may finish,
+/// because it responds; if it reports later, it is added as a new endpoint.
+fn expire(entry: &Entry, instance: &InstanceId, endpoint: EndpointId) {
     if entry.registry.borrow().get(instance).is_some() {
         return;
     }
     Line::new("endpoint_not_heard_of").with("replica", instance).info();
     entry.registered.borrow_mut().remove(instance);
-    entry.update_pool(|pool, now, out| pool.notice(now, endpoint, now + FINISH_WITHIN, out));
+    entry.update_pool(|pool, now, out| pool.notice(now, endpoint, now + DRAIN_TIMEOUT, out));
 }
 
-fn apply_news(entry: &Entry, instance: &InstanceId, known: &EndpointRecord) {
+fn apply_update(entry: &Entry, instance: &InstanceId, known: &EndpointRecord) {
     let registered = entry.registered.borrow().get(instance).copied();
     let endpoint = match (registered, &known.details) {
         (Some(endpoint), _) => endpoint,
         (None, Some(details)) if known.lifecycle == Lifecycle::Ready => {
             add(entry, instance, details)
         }
-        // Never used here, so there is nothing to take away.
+        // It was never in the pool, so there is nothing to remove.
         (None, _) => return,
     };
     Line::new("endpoint")
@@ -123,15 +124,17 @@
         .info();
     if known.lifecycle > Lifecycle::Ready {
         let now = clock::now();
-        let gone_at = known.ends_at.unwrap_or(now + FINISH_WITHIN);
+        let gone_at = known.ends_at.unwrap_or(now + DRAIN_TIMEOUT);
         entry.update_pool(|pool, now, out| pool.notice(now, endpoint, gone_at, out));
     }
 }
 
-/// Gives an endpoint whose answer to a request says that it leaves no new work. What it has may finish. Other boxes learn it
-/// from their own answers, or from its registration.
+/// Stops sending new work to an endpoint that announced in a response that it is leaving. Its open
+/// requests may finish. Other boxes receive the announcement in their own responses or through the
+/// endpoint's registration.
 ///
-/// One that the settings name rests instead: it starts again as the same endpoint, without anyone saying so.
+/// An endpoint from the settings is backed off instead: it restarts as the same endpoint, without
+/// any report of that.
 pub fn mark_leaving(entry: &Entry, endpoint: EndpointId, request: &str) {
     let (name, state) = {
         let pool = entry.pool.borrow();
@@ -143,9 +146,9 @@
     }
     Line::new("endpoint_says_leaving").with("replica", &name).with("request", request).info();
     if entry.registered.borrow().values().any(|registered| *registered == endpoint) {
-        entry.update_pool(|pool, now, out| pool.notice(now, endpoint, now + FINISH_WITHIN, out));
+        entry.update_pool(|pool, now, out| pool.notice(now, endpoint, now + DRAIN_TIMEOUT, out));
     } else {
-        entry.pool.borrow_mut().back_off(endpoint, clock::now() + ASK_AGAIN_AFTER);
+        entry.pool.borrow_mut().back_off(endpoint, clock::now() + RESTART_BACKOFF);
     }
 }
 
@@ -157,7 +160,7 @@
         availability_zone: details.availability_zone.clone(),
         box_name: instance.clone(),
         reclaimable: details.reclaimable,
-        max_open: details.slots.saturating_mul(1 + QUEUED_A_SLOT),
+        max_open: details.slots.saturating_mul(1 + MAX_QUEUED_PER_SLOT),
     };
     let endpoint = entry.update_pool(|pool, _, _| pool.add(spec));
     entry.registered.borrow_mut().insert(instance.clone(), endpoint);
--- a/crates/vaneway-server/src/core/endpoints/upstream.rs
+++ b/crates/vaneway-server/src/core/endpoints/upstream.rs
@@ -1,9 +1,9 @@
-//! Connections to endpoints and attempts over them.
+//! Connection pool for endpoints, and attempts at model engines.
 //!
-//! Why: what may be told to a caller depends on exactly how far an attempt got. [`ConnectionPool`]
-//! keeps idle connections for each endpoint and reports every failure as an
-//! [`Outcome`]: hyper hands a request back if it never reached the
-//! connection, which is the only case besides a failed connect that counts as not sent.
+//! Why: which error a caller may get depends on exactly how far an attempt got. [`ConnectionPool`]
+//! keeps idle connections to each endpoint and reports every failure as an [`Outcome`]. hyper
+//! returns a request that was never written to the connection; besides a failed connect, this is
+//! the only case that counts as not sent.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -41,32 +41,32 @@
 use crate::util::socket;
 use crate::util::timers::Timers;
 
-/// Longest wait for a connection to open: far more than a crossing of regions takes. An opening
-/// packet that is lost is sent again only after a second, and another endpoint is asked sooner.
-const CONNECT_WITHIN: Duration = Duration::from_millis(250);
+/// Maximum time to open a connection: far more than a round trip between regions. TCP resends a
+/// lost SYN only after a second, and trying another endpoint is faster.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Silence after which a connection on which something should arrive is given up: above what a
-/// packet that was lost and sent again takes.
-const SILENCE_MOST: Duration = Duration::from_secs(1);
+/// Time without a sign of life from the peer's host after which a connection on which data should
+/// arrive is closed: longer than the loss and retransmission of a packet take.
+const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Most idle connections kept for one endpoint.
-const IDLE_MOST: usize = 64;
+/// Maximum idle connections kept for one endpoint.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// Longest wait for the end of a body after its last event; a connection that takes longer is
-/// not kept.
-const END_WITHIN: Duration = Duration::from_millis(10);
+/// Maximum time to wait for the end of a body after its last event; a connection that takes longer
+/// is not reused.
+const BODY_END_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// Most bytes of an engine's error that are passed on.
-const ERROR_BYTES_MOST: usize = 64 << 10;
+/// Maximum bytes of an engine's error response that are forwarded.
+const MAX_ERROR_BYTES: usize = 64 << 10;
 
-/// Why an attempt ended without an answer.
+/// Why an attempt ended without a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SendError {
-    /// What is known of the attempt.
+    /// What is known about the request's execution.
     pub outcome: Outcome,
-    /// What happened, for the log.
+    /// Description of the error, for the log.
     pub cause: String,
-    /// Whether nothing listens at the endpoint's address.
+    /// Whether the endpoint's address refused the connection, because nothing listens there.
     pub is_down: bool,
 }
 
@@ -78,13 +78,13 @@
 
 impl std::error::Error for SendError {}
 
-/// An answer that has begun.
+/// A response whose head has arrived.
 #[derive(Debug)]
 pub struct StartedResponse {
-    /// The answer. Once its body was read to the end, [`ConnectionPool::release`] takes the connection
-    /// back.
+    /// The response. After its body has been read to the end, [`ConnectionPool::release`] returns
+    /// the connection to the pool.
     pub response: Response<ConnectionBody>,
-    /// Where the attempt stands.
+    /// The state of the attempt.
     pub attempt: Attempt,
 }
 
@@ -96,21 +96,20 @@
 }
 
 impl ConnectionPool {
-    /// Connections that are reset when they are closed, so that what was written and has not
-    /// arrived, for example because the network is cut, never will.
+    /// Creates a pool whose connections are reset when they are closed, so that data that was
+    /// written but has not arrived, for example because of a network partition, never arrives.
     pub fn reset_on_close() -> Self {
         Self { idle: RefCell::default(), reset_on_close: true }
     }
 
-    /// Sends `req` to `addr` and waits for the head of the answer until `head_deadline`.
+    /// Sends `req` to `addr` and waits for the head of the response until `head_deadline`.
     ///
-    /// With `new_connection`, no idle connection is used: the endpoint may be closing it at this moment,
-    /// which would leave the outcome of a call that may not be repeated unknown for no good
-    /// reason.
+    /// With `new_connection`, no idle connection is used: the endpoint may be closing it at this
+    /// moment, which would needlessly leave the outcome of a non-repeatable request unknown.
     ///
     /// # Errors
     ///
-    /// [`SendError`] says whether the endpoint may have run the request.
+    /// [`SendError`], whose outcome says whether the endpoint may have run the request.
     pub async fn send(
         &self,
         timers: &Timers,
@@ -123,21 +122,21 @@
         let mut new_connection = new_connection;
         loop {
             let mut attempt = Attempt::new();
-            let idle = if new_connection { None } else { self.take(addr) };
+            let idle = if new_connection { None } else { self.take_idle(addr) };
             let reused = idle.is_some();
-            let link = match idle {
-                Some(link) => link,
+            let connection = match idle {
+                Some(connection) => connection,
                 None => self.open(timers, addr, &mut attempt).await?,
             };
             attempt.handle(AttemptEvent::Written);
-            let sent = timers.timeout_at(head_deadline, link.send(req)).await;
+            let sent = timers.timeout_at(head_deadline, connection.send(req)).await;
             match sent {
                 Some(Ok(response)) => {
                     attempt.handle(AttemptEvent::Head);
                     return Ok(StartedResponse { response, attempt });
                 }
                 Some(Err(mut error)) => match error.take_message() {
-                    // The endpoint closed an idle connection: try once more on a new one.
+                    // The endpoint closed the idle connection: retry on a new one.
                     Some(returned) if reused => {
                         req = returned;
                         new_connection = true;
@@ -151,19 +150,19 @@
                     }
                 },
                 None => {
-                    let cause = "no answer within the time allowed";
+                    let cause = "timed out waiting for the response head";
                     return Err(ended(&mut attempt, AttemptEvent::Broken, cause));
                 }
             }
         }
     }
 
-    /// Sends a small request that may be repeated and reads its whole answer, of at most `limit`
-    /// bytes, until `until`.
+    /// Sends a small repeatable request and reads its complete response, with a body of at most
+    /// `limit` bytes, until `until`.
     ///
     /// # Errors
     ///
-    /// [`SendError`] if no whole answer came.
+    /// [`SendError`] if no complete response arrives.
     pub async fn exchange(
         &self,
         timers: &Timers,
@@ -176,7 +175,7 @@
         Ok((head.status, body))
     }
 
-    /// Like [`ConnectionPool::exchange`], with the whole head of the answer.
+    /// Like [`ConnectionPool::exchange`], but returns the complete head of the response.
     ///
     /// # Errors
     ///
@@ -192,15 +191,15 @@
         let StartedResponse { response, mut attempt } =
             self.send(timers, addr, req, false, until).await?;
         let (head, mut body) = response.into_parts();
-        let mut held = BytesMut::new();
-        let cause = match timers.timeout_at(until, body.read_into(&mut held, limit)).await {
+        let mut buffer = BytesMut::new();
+        let cause = match timers.timeout_at(until, body.read_into(&mut buffer, limit)).await {
             Some(Ok(true)) => {
                 self.release(addr, body);
-                return Ok((head, held.freeze()));
+                return Ok((head, buffer.freeze()));
             }
-            Some(Ok(false)) => "the answer is too long".to_owned(),
+            Some(Ok(false)) => "response body exceeds the size limit".to_owned(),
             Some(Err(error)) => error.to_string(),
-            None => "the answer did not end in time".to_owned(),
+            None => "timed out waiting for the end of the response".to_owned(),
         };
         Err(ended(&mut attempt, AttemptEvent::Broken, cause))
     }
@@ -211,12 +210,12 @@
         addr: SocketAddr,
         attempt: &mut Attempt,
     ) -> Result<Connection, SendError> {
-        let stream = socket::connect_timeout(timers, addr, CONNECT_WITHIN).await;
+        let stream = socket::connect_timeout(timers, addr, CONNECT_TIMEOUT).await;
         let stream = stream.map_err(|error| {
             let is_down = error.kind() == ErrorKind::ConnectionRefused;
             SendError { is_down, ..ended(attempt, AttemptEvent::Returned, error) }
         })?;
-        if let Err(error) = stream.set_peer_timeout(SILENCE_MOST) {
+        if let Err(error) = stream.set_peer_timeout(PEER_TIMEOUT) {
             return Err(ended(attempt, AttemptEvent::Returned, error));
         }
         if self.reset_on_close
@@ -229,66 +228,68 @@
             .map_err(|error| ended(attempt, AttemptEvent::Returned, error))
     }
 
-    fn take(&self, addr: SocketAddr) -> Option<Connection> {
+    fn take_idle(&self, addr: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(&addr)?;
-        while let Some(mut link) = links.pop() {
-            if link.is_ready() {
-                return Some(link);
+        let connections = idle.get_mut(&addr)?;
+        while let Some(mut connection) = connections.pop() {
+            if connection.is_ready() {
+                return Some(connection);
             }
         }
         None
     }
 
-    /// Takes a connection back after its answer was read to the end.
+    /// Returns a connection to the pool after its response has been read to the end.
     pub fn release(&self, addr: SocketAddr, body: ConnectionBody) {
-        let link = body.into_connection();
+        let connection = body.into_connection();
         let mut idle = self.idle.borrow_mut();
-        let links = idle.entry(addr).or_default();
-        if links.len() < IDLE_MOST {
-            links.push(link);
+        let connections = idle.entry(addr).or_default();
+        if connections.len() < MAX_IDLE_CONNECTIONS {
+            connections.push(connection);
         }
     }
 
-    /// Takes a connection back after a refusal, if its body ends soon.
+    /// Returns a connection to the pool after a refusal, if the refusal's body ends within
+    /// `BODY_END_TIMEOUT`.
     pub async fn release_refused(
         &self,
         timers: &Timers,
         addr: SocketAddr,
         mut body: ConnectionBody,
     ) {
-        let mut held = BytesMut::new();
-        let read = body.read_into(&mut held, ERROR_BYTES_MOST);
-        let read = timers.timeout_at(clock::now() + END_WITHIN, read).await;
+        let mut buffer = BytesMut::new();
+        let read = body.read_into(&mut buffer, MAX_ERROR_BYTES);
+        let read = timers.timeout_at(clock::now() + BODY_END_TIMEOUT, read).await;
         if matches!(read, Some(Ok(true))) {
             self.release(addr, body);
         }
     }
 
-    /// How many connections are idle.
+    /// The number of idle connections.
     pub fn idle(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    /// Closes the idle connections to an endpoint that is gone.
+    /// Closes the idle connections to an address, because its endpoint is gone.
     pub fn close_idle(&self, addr: SocketAddr) {
         self.idle.borrow_mut().remove(&addr);
     }
 }
 
+/// Applies the event that ends an attempt, and returns the resulting error.
 fn ended(attempt: &mut Attempt, event: AttemptEvent, cause: impl fmt::Display) -> SendError {
     let outcome = attempt.handle(event).unwrap_or(Outcome::Unknown);
     SendError { outcome, cause: cause.to_string(), is_down: false }
 }
 
-/// What an attempt at a model engine brings.
+/// An item of the stream of one attempt at a model engine.
 #[derive(Debug)]
 pub enum AttemptItem {
     /// The engine accepted the request.
     Head {
-        /// Requests a second that it takes from all entry boxes together, if it names that.
+        /// The limit that it advertises, if any.
         limit: Result<Option<Rate>, NumberError>,
-        /// Whether it says that it leaves.
+        /// Whether it announces that it is leaving.
         leaving: bool,
     },
     /// One server-sent event.
@@ -298,35 +299,35 @@
         /// The event's data, a chunk.
         data: String,
     },
-    /// The engine answered with an error that another attempt can't mend.
+    /// The engine responded with an error that a retry would not resolve.
     Rejected {
-        /// The answer's status.
+        /// The response's status.
         status: StatusCode,
-        /// The answer's body.
+        /// The response's body.
         body: Bytes,
     },
     /// The engine did not run the request.
     Refused {
-        /// The answer's status.
+        /// The response's status.
         status: StatusCode,
-        /// The answer's headers.
+        /// The response's headers.
         headers: HeaderMap,
-        /// What happened, for the log.
+        /// Description of the refusal, for the log.
         cause: String,
     },
     /// The attempt ended.
     Ended {
-        /// What is known of it.
+        /// What is known about the request's execution.
         outcome: Outcome,
-        /// What happened, for the log.
+        /// Description of the error, for the log; empty if the attempt is complete.
         cause: String,
     },
 }
 
-/// What [`model_attempt`] needs.
+/// Parameters of [`model_attempt`].
 #[derive(Debug)]
 pub struct ModelAttempt<C> {
-    /// The connections to use.
+    /// The connection pool.
     pub connections: C,
     /// The timer service.
     pub timers: Timers,
@@ -334,11 +335,11 @@
     pub addr: SocketAddr,
     /// The request.
     pub req: EndpointRequest,
-    /// Whether to open a new connection.
+    /// Whether to open a new connection instead of using an idle one.
     pub new_connection: bool,
-    /// Longest silence before the attempt counts as broken.
+    /// Maximum time between two events before the attempt counts as broken.
     pub stall_timeout: Duration,
-    /// When the first sign of an answer must be there.
+    /// Deadline for the head of the response.
     pub head_deadline: Instant,
 }
 
@@ -360,15 +361,15 @@
     events: Events,
 }
 
-/// One attempt at a model engine, as a stream of what it brings. Dropping it closes the
-/// connection unless the answer was read to the end.
+/// Runs one attempt at a model engine and returns the stream of its items. Dropping the stream
+/// closes the connection unless the response was read to the end.
 pub fn model_attempt<C>(attempt: ModelAttempt<C>) -> impl Stream<Item = AttemptItem>
 where
     C: std::ops::Deref<Target = ConnectionPool>,
 {
     unfold(Stage::Sending(Box::new(attempt)), |stage| async move {
         match stage {
-            // Boxed, so that its memory is free while the answer is read.
+            // Boxed, so that its memory is freed before the response body is read.
             Stage::Sending(attempt) => Some(Box::pin(start(*attempt)).await),
             Stage::Reading(reading) => Some(next_event(reading).await),
             Stage::Over => None,
@@ -407,20 +408,20 @@
         let reading = Reading { connections, timers, addr, stall_timeout, body, attempt, events };
         return (AttemptItem::Head { limit, leaving }, Stage::Reading(Box::new(reading)));
     }
-    let mut held = BytesMut::new();
-    let read = body.read_into(&mut held, ERROR_BYTES_MOST);
+    let mut buffer = BytesMut::new();
+    let read = body.read_into(&mut buffer, MAX_ERROR_BYTES);
     if let Some(Ok(true)) = timers.timeout_at(clock::now() + stall_timeout, read).await {
         connections.release(addr, body);
     }
-    (engine_error(&mut attempt, head, held.freeze()), Stage::Over)
+    (engine_error(&mut attempt, head, buffer.freeze()), Stage::Over)
 }
 
-/// What an engine's error means, by the engine protocol of docs/INTERFACES.md: overload, a lost
-/// state and a stopping engine are refusals; a fault in the engine leaves the outcome unknown;
-/// everything else is an answer to the request itself.
+/// Classifies an engine's error response by the engine protocol of docs/INTERFACES.md. Overload, a
+/// lost state and a stopping engine are refusals; an engine fault leaves the outcome unknown; any
+/// other error is the response to the request itself.
 fn engine_error(attempt: &mut Attempt, head: response::Parts, body: Bytes) -> AttemptItem {
     let response::Parts { status, headers, .. } = head;
-    let cause = format!("the engine answered {}", status.as_u16());
+    let cause = format!("engine responded with status {}", status.as_u16());
     match status {
         StatusCode::CONFLICT | StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
             AttemptItem::Refused { status, headers, cause }
@@ -447,23 +448,24 @@
             return (item, Stage::Reading(reading));
         }
         Some(Some(Err(error))) => error.to_string(),
-        Some(None) => "the stream ended before its last event".to_owned(),
-        None => "the engine was silent for too long".to_owned(),
+        Some(None) => "event stream ended before its last event".to_owned(),
+        None => "no event from the engine within the stall timeout".to_owned(),
     };
     let SendError { outcome, cause, .. } =
         ended(&mut reading.attempt, AttemptEvent::Broken, broken);
     (AttemptItem::Ended { outcome, cause }, Stage::Over)
 }
 
-/// Ends an attempt whose last event arrived. The connection is kept only if the body ends there.
+/// Ends an attempt whose last event has arrived. The connection is reused only if the body ends
+/// within `BODY_END_TIMEOUT`.
 async fn finish<C>(reading: Reading<C>) -> AttemptItem
 where
     C: std::ops::Deref<Target = ConnectionPool>,
 {
     let Reading { connections, timers, addr, body, mut attempt, mut events, .. } = reading;
     let outcome = attempt.handle(AttemptEvent::End).unwrap_or(Outcome::Done);
-    let soon = clock::now() + END_WITHIN;
-    let ended = timers.timeout_at(soon, events.next()).await;
+    let until = clock::now() + BODY_END_TIMEOUT;
+    let ended = timers.timeout_at(until, events.next()).await;
     drop(events);
     if let (Some(None), Some(body)) = (ended, body.into_body()) {
         connections.release(addr, body);
