--- a/crates/vaneway-capacity/src/lib.rs
+++ b/crates/vaneway-capacity/src/lib.rs
@@ -229,7 +229,7 @@
         let demand = self.max_demand(now, input, self.policy.demand_kept);
         let recent = self.max_demand(now, input, self.policy.scarce_kept);
         // Replicas that limit themselves still run and are paid for, so their substitutes are
-        // ordered in addition. At most doubles the count, even if all replicas advertise limits.
+        // ordered in addition. They at most double the count, even if all replicas have limits.
         let with_substitutes =
             |count: u32| count + (input.lost_to_limits.round() as u32).min(count);
         let need = Need {
--- a/crates/vaneway-route/src/pool.rs
+++ b/crates/vaneway-route/src/pool.rs
@@ -423,7 +423,7 @@
     }
 
     /// Returns the prompt parts to send to the other boxes: those that requests of this box used at
-    /// endpoints since the last call and that would not count as cached there, or would soon expire.
+    /// endpoints since the last call, unless the other boxes have a recent enough update of them.
     pub fn take_new_parts(&mut self) -> Vec<(EndpointId, PartId)> {
         std::mem::take(&mut self.new_parts)
     }
