--- a/crates/vaneway-agreement/src/event.rs
+++ b/crates/vaneway-agreement/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a node, what it does about it, and what it keeps on its disk.
+//! Events and actions of a node, and its persistent state.
 
 use std::time::Duration;
 
@@ -12,22 +12,24 @@
 use crate::Snapshot;
 use crate::Term;
 
-/// How a node behaves.
+/// Configuration of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Config {
     /// The node's id.
     pub id: NodeId,
     /// Time between a leader's heartbeats.
     pub heartbeat_interval: Duration,
-    /// Shortest silence of a leader before another is sought; the longest is twice that.
+    /// Minimum election timeout: a follower that receives nothing from a leader for this long
+    /// starts a pre-vote. The maximum is twice as long.
     pub election_timeout: Duration,
-    /// Largest difference in speed between two clocks, in parts of a thousand.
+    /// Maximum difference in rate between two clocks, in parts per thousand.
     pub max_drift_per_mille: u32,
-    /// Seed of the timeouts' jitter.
+    /// Seed of the random election timeouts.
     pub seed: u64,
 }
 
-/// Rules that tests switch off, one at a time, to see that the explorer then finds a fault.
+/// Safety rules that tests disable, one at a time, to check that the explorer then finds a
+/// violation.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Rule {
@@ -36,32 +38,32 @@
     CommitOwnTermOnly,
     PersistBeforeReply,
     AppendChecksPrevious,
-    /// A snapshot that is older than what is committed is not taken.
+    /// Rejects a snapshot that is older than the commit index.
     InstallChecksCommit,
 }
 
-/// What a node has on its disk.
+/// The persistent state of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct DurableState {
-    /// The highest term it knows of.
+    /// The latest term that the node has seen.
     pub term: Term,
-    /// Whom it voted for in that term.
+    /// The candidate that it voted for in that term.
     pub vote: Option<NodeId>,
-    /// What stands for the entries before the first of `entries`, if anything does.
+    /// Snapshot that covers the entries before the first of `entries`, if there is one.
     pub snapshot: Option<Snapshot>,
-    /// Its entries.
+    /// The entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// Who counts until an entry names others.
+    /// The members until an entry defines others.
     pub first_members: Members,
 }
 
 impl DurableState {
-    /// The disk of a node that never ran.
+    /// The state of a node that never ran.
     pub fn empty(first_members: Members) -> Self {
         Self { term: 0, vote: None, snapshot: None, entries: Vec::new(), first_members }
     }
 
-    /// Applies what a node asked to be made durable.
+    /// Applies a write that the node requested.
     pub fn apply(&mut self, persist: &Persist) {
         self.term = persist.term;
         self.vote = persist.vote;
@@ -78,7 +80,7 @@
         }
     }
 
-    /// The entries as a log.
+    /// The entries, as a log.
     pub fn log(&self) -> Log {
         match &self.snapshot {
             Some(snapshot) => Log::after_snapshot(snapshot, self.entries.clone()),
@@ -87,146 +89,147 @@
     }
 }
 
-/// What must become durable, in order.
+/// A request to write persistent state. Requests must be carried out in order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Persist {
-    /// Number to give back with [`Event::Persisted`].
+    /// Number to pass to [`Event::Persisted`].
     pub number: u64,
     /// The node's term.
     pub term: Term,
     /// Its vote in that term.
     pub vote: Option<NodeId>,
-    /// What takes the place of the entries up to its position; those behind it stay if they follow
-    /// from it.
+    /// Snapshot that replaces the entries up to its index. The entries after it are kept if they
+    /// continue it.
     pub snapshot: Option<Snapshot>,
-    /// Entries that replace everything from the first one's position on.
+    /// Entries that replace all entries from the index of the first one on.
     pub entries: Vec<Entry>,
 }
 
-/// A change of who takes part.
+/// A membership change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum MemberChange {
-    /// Lets a node receive the log.
+    /// Adds a node that receives the log but does not vote.
     AddLearner(NodeId),
-    /// Lets a learner that has caught up vote.
+    /// Makes a learner that has caught up a voter.
     Promote(NodeId),
-    /// Takes a member out.
+    /// Removes a voter or learner.
     Remove(NodeId),
 }
 
-/// What happened.
+/// An input to [`crate::Node::handle`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// [`crate::Node::next_deadline`] has come.
+    /// The time [`crate::Node::next_deadline`] has been reached.
     Tick,
     /// A message arrived.
     Message {
-        /// Who sent it.
+        /// The sender.
         from: NodeId,
         /// The message.
         message: Message,
     },
-    /// Everything up to the [`Persist`] with this number is durable.
+    /// Everything up to and including the [`Persist`] with this number is durable.
     Persisted {
-        /// The number.
+        /// Number of the [`Persist`].
         number: u64,
     },
-    /// The owner wants a command in the log.
+    /// The owner proposes a command.
     Propose {
-        /// Names the proposal.
+        /// Id of the proposal.
         proposal_id: ProposalId,
         /// The command.
         command: Vec<u8>,
     },
-    /// The owner's state after the entries up to `index`, which are committed, is `data`: the
-    /// entries are needed no longer.
+    /// The owner's state after applying the committed entries up to `index` is `data`, so these
+    /// entries are no longer needed.
     Compact {
-        /// The position.
+        /// Index of the last entry applied.
         index: Index,
-        /// The owner's state.
+        /// The owner's state, serialised.
         data: Vec<u8>,
     },
-    /// The owner wants a change of the members.
+    /// The owner proposes a membership change.
     ChangeMembers {
-        /// Names the proposal.
+        /// Id of the proposal.
         proposal_id: ProposalId,
         /// The change.
         change: MemberChange,
     },
 }
 
-/// Why a proposal was not taken.
+/// Why a proposal was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// Another node leads, or none does.
+    /// This node is not the leader.
     NotLeader {
-        /// Who leads, if known.
+        /// The current leader, if known.
         leader: Option<NodeId>,
     },
-    /// An earlier change of the members is not committed yet, or the leader's term is too young.
+    /// An earlier membership change is not committed yet, or no entry of the leader's term is.
     ChangePending,
-    /// The learner has not caught up.
+    /// The learner to be promoted has not caught up.
     NotCaughtUp,
-    /// The change would do nothing, or leave no voter.
+    /// The change would have no effect, or leave no voters.
     Pointless,
 }
 
-/// What to do.
+/// An output of [`crate::Node::handle`], to be carried out in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send a message.
     Send {
-        /// To whom.
+        /// The receiver.
         to: NodeId,
         /// The message.
         message: Message,
     },
-    /// Make something durable, then report it with [`Event::Persisted`].
+    /// Make this durable, then report it with [`Event::Persisted`].
     Persist(Persist),
-    /// The proposal is in the leader's log; it is done once it is committed at this place.
+    /// The proposal was appended to the leader's log. It has succeeded once an entry of this term
+    /// is committed at this index.
     Proposed {
-        /// The proposal.
+        /// Id of the proposal.
         proposal_id: ProposalId,
-        /// Its term.
+        /// Term of the entry.
         term: Term,
-        /// Its position.
+        /// Index of the entry.
         index: Index,
     },
-    /// The proposal was not taken and is in no log.
+    /// The proposal was rejected and is in no log.
     Refused {
-        /// The proposal.
+        /// Id of the proposal.
         proposal_id: ProposalId,
-        /// Why.
+        /// The reason.
         refusal: Refusal,
     },
-    /// These entries are committed, in order.
+    /// These entries are committed, in log order.
     Commit {
         /// The entries.
         entries: Vec<Entry>,
     },
-    /// The owner's state is that of this snapshot; commits go on behind it.
+    /// Replace the owner's state with this snapshot; the next commits continue from it.
     Restore {
         /// The snapshot.
         snapshot: Snapshot,
     },
     /// The node's role changed.
     RoleChanged {
-        /// Its role now.
+        /// The new role.
         role: Role,
-        /// Its term.
+        /// The current term.
         term: Term,
     },
 }
 
-/// A node's role.
+/// Role of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
     /// Follows a leader, or waits for one.
     Follower,
-    /// Asks whether it would be elected.
+    /// Requests pre-votes: checks whether it could be elected, without raising the term.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Leads.
+    /// Replicates its log to the others.
     Leader,
 }
--- a/crates/vaneway-agreement/src/lib.rs
+++ b/crates/vaneway-agreement/src/lib.rs
@@ -1,22 +1,22 @@
-//! Agreement on a replicated log, without I/O.
+//! Consensus on a replicated log, without I/O.
 //!
-//! Why: claims, configuration and orders must be the same on every control box and must survive
-//! any minority of them. The boxes agree on one log of commands by the rules of Raft (Ongaro and
-//! Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014), with pre-vote, check
-//! quorum, leader leases, learners and single-step membership changes (Ongaro, "Consensus:
+//! Claims, configuration and orders must be the same on every control box and must survive the loss
+//! of any minority of them. The boxes replicate one log of commands by the rules of Raft (Ongaro
+//! and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014), with pre-vote,
+//! check quorum, leader leases, learners and single-server membership changes (Ongaro, "Consensus:
 //! Bridging Theory and Practice", 2014, chapters 4, 6 and 9).
 //!
-//! Data flow: the owner feeds a [`Node`] with [`Event`]s (a message, a timer, a proposal, the news
-//! that something is durable) and carries out the [`Action`]s that come back. Whatever depends on
-//! durability is held inside the node until [`Event::Persisted`] says so; the owner may sync when
-//! it likes and in batches, but must persist in order.
+//! Data flow: the owner feeds a [`Node`] with [`Event`]s (a message, a timer, a proposal, or a
+//! completed write) and carries out the [`Action`]s that it returns. The node holds back whatever
+//! depends on durability until [`Event::Persisted`] confirms it. The owner may sync to disk at any
+//! time and in batches, but must persist in order.
 //!
-//! Entries for which the owner has its state are replaced by a [`Snapshot`] of it (chapter 5), which
-//! members that lack them get in their place.
+//! Entries that the owner's state covers are replaced by a [`Snapshot`] of that state (chapter 5).
+//! Members that lack these entries receive the snapshot instead.
 //!
-//! - `event`: what happens and what to do;
-//! - `log`: the entries and the members that they name;
-//! - `message`: what nodes send each other;
+//! - `event`: events, actions, and the persistent state;
+//! - `log`: the entries, and the members that they define;
+//! - `message`: messages between nodes;
 //! - `node`: the roles and their rules.
 
 mod event;
@@ -44,14 +44,14 @@
 pub use message::Message;
 pub use node::Node;
 
-/// Names a node; a node that lost its disk comes back under another id.
+/// Id of a node. A node that lost its disk comes back under another id.
 pub type NodeId = u64;
 
-/// Number of a leader's time in office.
+/// Raft term: rises by one with each election.
 pub type Term = u64;
 
-/// Position in the log, from 1.
+/// Position in the log, starting at 1.
 pub type Index = u64;
 
-/// Names a proposal, by the owner's choice.
+/// Id of a proposal, chosen by the owner.
 pub type ProposalId = u64;
--- a/crates/vaneway-agreement/src/log.rs
+++ b/crates/vaneway-agreement/src/log.rs
@@ -1,4 +1,4 @@
-//! The log of one node, and the members that it names.
+//! The log of one node, and the members that it defines.
 
 use std::collections::BTreeSet;
 
@@ -9,46 +9,47 @@
 use crate::NodeId;
 use crate::Term;
 
-/// Who takes part.
+/// The members of the group.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Members {
-    /// Nodes whose votes count.
+    /// Members that vote and count towards quorums.
     pub voters: BTreeSet<NodeId>,
-    /// Nodes that receive the log and do not count.
+    /// Members that receive the log but do not vote.
     pub learners: BTreeSet<NodeId>,
 }
 
 impl Members {
-    /// Members of which all vote.
+    /// Members that all vote.
     pub fn with_voters(voters: impl IntoIterator<Item = NodeId>) -> Self {
         Self { voters: voters.into_iter().collect(), learners: BTreeSet::new() }
     }
 
-    /// Whether `nodes` holds more than half of the voters.
+    /// Whether the voters for which `nodes` is true are a majority.
     pub fn is_quorum(&self, nodes: impl Fn(NodeId) -> bool) -> bool {
         let count = self.voters.iter().filter(|node| nodes(**node)).count();
         count > self.voters.len() / 2
     }
 
-    /// Every member.
+    /// All members, voters first.
     pub fn all(&self) -> impl Iterator<Item = NodeId> {
         self.voters.iter().chain(&self.learners).copied()
     }
 }
 
-/// What an entry says.
+/// Content of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: a new leader's first entry, by which it may commit the ones before.
+    /// No content: the first entry of a new leader, with which it can commit the entries of earlier
+    /// terms.
     Noop,
-    /// The owner's command.
+    /// A command of the owner, serialised.
     Command(Vec<u8>),
-    /// From here on, these are the members.
+    /// The members from this entry on.
     Members(Members),
 }
 
 impl Payload {
-    /// Bytes of the owner's command; 0 for the other payloads, which are small.
+    /// Size of the owner's command in bytes; 0 for the other payloads, which are small.
     pub fn command_bytes(&self) -> usize {
         match self {
             Self::Command(command) => command.len(),
@@ -57,48 +58,48 @@
     }
 }
 
-/// One entry.
+/// An entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// The term of the leader that made it.
+    /// Term of the leader that created it.
     pub term: Term,
-    /// Its position.
+    /// Its position in the log.
     pub index: Index,
-    /// What it says.
+    /// Its content.
     pub payload: Payload,
 }
 
-/// The owner's state after the entries up to a position, in place of those entries.
+/// The owner's state after the entries up to an index, which it replaces.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Position of the last entry that it stands for.
+    /// Index of the last entry that it covers.
     pub index: Index,
-    /// That entry's term.
+    /// Term of that entry.
     pub term: Term,
     /// The members as of that entry.
     pub members: Members,
-    /// The owner's state.
+    /// The owner's state, serialised.
     pub data: Vec<u8>,
 }
 
-/// The entries of one node: those behind a snapshot, if it has one.
+/// The entries of one node: those after its snapshot, if it has one.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Log {
-    /// Position and term of the last entry that the snapshot stands for; 0 without one.
+    /// Index and term of the last entry that the snapshot covers; 0 without a snapshot.
     base_index: Index,
     base_term: Term,
-    /// Who counts until an entry names others.
+    /// The members until an entry defines others.
     base_members: Members,
     entries: Vec<Entry>,
 }
 
 impl Log {
-    /// A log with these entries; `first_members` count until an entry names others.
+    /// A log with these entries; `first_members` are the members until an entry defines others.
     pub fn new(first_members: Members, entries: Vec<Entry>) -> Self {
         Self { base_index: 0, base_term: 0, base_members: first_members, entries }
     }
 
-    /// A log of the entries behind a snapshot.
+    /// A log with the entries that follow a snapshot.
     pub fn after_snapshot(snapshot: &Snapshot, entries: Vec<Entry>) -> Self {
         Self {
             base_index: snapshot.index,
@@ -108,17 +109,17 @@
         }
     }
 
-    /// Position of the last entry that a snapshot stands for; 0 without one.
+    /// Index of the last entry that the snapshot covers; 0 without a snapshot.
     pub fn base_index(&self) -> Index {
         self.base_index
     }
 
-    /// Entries that are kept.
+    /// The entries after the snapshot.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// Position of the last entry; 0 if there is none.
+    /// Index of the last entry; 0 if there is none.
     pub fn last_index(&self) -> Index {
         self.base_index + self.entries.len() as Index
     }
@@ -128,13 +129,13 @@
         self.entries.last().map_or(self.base_term, |entry| entry.term)
     }
 
-    /// Place in `entries` of the entry at `index`, which is behind the snapshot.
+    /// Position in `entries` of the entry at `index`, which must be after the snapshot.
     fn position(&self, index: Index) -> usize {
         (index - self.base_index) as usize - 1
     }
 
-    /// Term of the entry at `index`; 0 before the first, none behind the last or where a snapshot
-    /// hides it.
+    /// Term of the entry at `index`: 0 before the first entry, none after the last one or within
+    /// the snapshot.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         match index {
             index if index == self.base_index => Some(self.base_term),
@@ -143,27 +144,27 @@
         }
     }
 
-    /// Entries from `index` on, at most `max_entries` of them and, behind the first, at most about
-    /// `max_bytes` of commands. `index` is behind the snapshot.
+    /// Entries from `index` on, which must be after the snapshot: at least one if there is any, at
+    /// most `max_entries`, and at most about `max_bytes` of commands.
     pub fn batch_from(&self, index: Index, max_entries: usize, max_bytes: usize) -> &[Entry] {
         let begin = self.position(index.max(self.base_index + 1)).min(self.entries.len());
-        let mut left = max_bytes;
+        let mut remaining_bytes = max_bytes;
         let rest = &self.entries[begin..];
         let fits = |entry: &&Entry| {
-            left = left.saturating_sub(entry.payload.command_bytes());
-            left > 0
+            remaining_bytes = remaining_bytes.saturating_sub(entry.payload.command_bytes());
+            remaining_bytes > 0
         };
         let count = rest.iter().take(max_entries).take_while(fits).count();
         &rest[..count.max(1).min(rest.len())]
     }
 
-    /// Entries behind `after` up to and including `to`.
+    /// Entries after `after`, up to and including `to`.
     pub fn between(&self, after: Index, to: Index) -> &[Entry] {
         let after = after.max(self.base_index);
         &self.entries[(after - self.base_index) as usize..(to - self.base_index) as usize]
     }
 
-    /// Lets a snapshot of `data` stand for the entries up to `index`, which are there.
+    /// Replaces the entries up to `index`, which must exist, by a snapshot of `data`.
     pub fn compact(&mut self, index: Index, data: Vec<u8>) -> Snapshot {
         let term = self.term_at(index).unwrap_or_default();
         let members = self.members_at(index).clone();
@@ -175,7 +176,7 @@
         snapshot
     }
 
-    /// Takes a leader's snapshot. Entries behind it stay if they follow from it.
+    /// Installs a leader's snapshot. Entries after it are kept if they continue it.
     pub fn install(&mut self, snapshot: &Snapshot) {
         let follows = self.term_at(snapshot.index) == Some(snapshot.term);
         let entries = if follows {
@@ -203,10 +204,11 @@
         entry
     }
 
-    /// Takes a leader's entries: drops what conflicts, appends what is new. Returns the new ones.
+    /// Merges a leader's entries: removes conflicting ones and appends new ones. Returns the new
+    /// ones.
     pub fn merge(&mut self, entries: &[Entry]) -> Vec<Entry> {
         for (i, entry) in entries.iter().enumerate() {
-            // What a snapshot stands for is committed, so it is the same.
+            // Entries covered by a snapshot are committed, so they are the same.
             if entry.index <= self.base_index {
                 continue;
             }
@@ -220,12 +222,12 @@
         Vec::new()
     }
 
-    /// The members that the log names last, committed or not.
+    /// The members that the last membership entry defines, committed or not.
     pub fn members(&self) -> &Members {
         self.last_members().map_or(&self.base_members, |(_, members)| members)
     }
 
-    /// Position of the last entry that names members; 0 if none does.
+    /// Index of the last membership entry; 0 if there is none.
     pub fn members_index(&self) -> Index {
         self.last_members().map_or(0, |(index, _)| index)
     }
@@ -237,7 +239,8 @@
         })
     }
 
-    /// Whether a log that ends at (`term`, `index`) has at least what this one has.
+    /// Whether the log of a candidate whose last entry has `term` and `index` is at least as
+    /// up-to-date as this one.
     pub fn is_candidate_up_to_date(&self, term: Term, index: Index) -> bool {
         (term, index) >= (self.last_term(), self.last_index())
     }
--- a/crates/vaneway-agreement/src/message.rs
+++ b/crates/vaneway-agreement/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes send each other.
+//! Messages between nodes.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,90 +11,92 @@
 /// A message between nodes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Would you vote for me in `term`? Changes nothing at the receiver.
+    /// Asks whether the receiver would vote for the sender in `term`. Does not change the
+    /// receiver's state.
     PreVote {
-        /// The term that the sender would begin.
+        /// The term in which the sender would be a candidate.
         term: Term,
         /// Term of the sender's last entry.
         last_term: Term,
-        /// Position of the sender's last entry.
+        /// Index of the sender's last entry.
         last_index: Index,
     },
     /// Answer to [`Message::PreVote`].
     PreVoteReply {
-        /// The term asked for, or the receiver's if that is higher.
+        /// The requested term if granted, else the receiver's term.
         term: Term,
-        /// Whether it would.
+        /// Whether the receiver would vote for the sender.
         granted: bool,
     },
-    /// Vote for me in `term`.
+    /// Requests a vote in `term`.
     Vote {
         /// The sender's term.
         term: Term,
         /// Term of the sender's last entry.
         last_term: Term,
-        /// Position of the sender's last entry.
+        /// Index of the sender's last entry.
         last_index: Index,
     },
-    /// Answer to [`Message::Vote`]; sent once the vote is durable.
+    /// Answer to [`Message::Vote`]; sent only once the vote is durable.
     VoteReply {
         /// The receiver's term.
         term: Term,
-        /// Whether it does.
+        /// Whether the receiver votes for the sender.
         granted: bool,
     },
-    /// Entries, and a heartbeat.
+    /// Entries to append; also a heartbeat.
     Append(Append),
-    /// Answer to [`Message::Append`] and [`Message::Install`]; sent once what it answers for is
-    /// durable.
+    /// Answer to [`Message::Append`] and [`Message::Install`]; sent only once the accepted entries
+    /// or snapshot are durable.
     AppendReply(AppendReply),
-    /// A snapshot for a member that lacks entries which the leader no longer has, and a heartbeat.
+    /// A snapshot for a member that needs entries which the leader no longer has; also a heartbeat.
     Install(Install),
 }
 
-/// A leader's snapshot.
+/// A leader's snapshot for a member that lags behind.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Install {
     /// The leader's term.
     pub term: Term,
     /// The snapshot.
     pub snapshot: Snapshot,
-    /// Number of the leader's heartbeat, for its lease.
+    /// Number of the leader's heartbeat round, for its lease.
     pub round: u64,
 }
 
-/// A leader's entries, and its heartbeat.
+/// A leader's entries, which also serve as its heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Append {
     /// The leader's term.
     pub term: Term,
-    /// Position of the entry before the first of `entries`.
+    /// Index of the entry before the first of `entries`.
     pub prev_index: Index,
-    /// Its term.
+    /// Term of that entry.
     pub prev_term: Term,
     /// Entries to append.
     pub entries: Vec<Entry>,
-    /// Position up to which entries are committed.
+    /// The leader's commit index.
     pub commit: Index,
-    /// Number of the leader's heartbeat, for its lease.
+    /// Number of the leader's heartbeat round, for its lease.
     pub round: u64,
 }
 
-/// What became of an [`Append`].
+/// Result of an [`Append`] or [`Install`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AppendReply {
     /// The receiver's term.
     pub term: Term,
-    /// Position up to which the receiver's log is the leader's, if it accepted.
+    /// Index up to which the receiver's log matches the leader's; none if the message was rejected.
     pub matched: Option<Index>,
-    /// Position of the receiver's last entry, for a leader that must go back.
+    /// Index of the receiver's last entry, from which a leader whose message was rejected
+    /// continues.
     pub last_index: Index,
-    /// The heartbeat answered.
+    /// The heartbeat round that is answered.
     pub round: u64,
 }
 
 impl Message {
-    /// The term that the message speaks for.
+    /// The term in the message.
     pub fn term(&self) -> Term {
         match self {
             Self::PreVote { term, .. }
--- a/crates/vaneway-agreement/src/node.rs
+++ b/crates/vaneway-agreement/src/node.rs
@@ -1,16 +1,18 @@
-//! One node: its roles and their rules.
+//! One Raft node: its roles and their rules.
 //!
-//! Overview: [`Node::handle`] takes an event. A follower that hears from no leader asks for
-//! pre-votes; with a quorum of them it begins a term and asks for votes; with a quorum of those it
-//! leads, appends an entry of its own term, and sends every member what it misses. An entry is
-//! committed once a quorum has it durably and it is of the leader's own term.
+//! Overview: [`Node::handle`] takes an event. A follower that receives nothing from a leader
+//! requests pre-votes; with a quorum of them it starts a new term and requests votes; with a quorum
+//! of votes it becomes the leader, appends an entry of its own term, and sends every member the
+//! entries that it lacks. An entry is committed once it is durable at a quorum and is of the
+//! leader's own term or precedes such an entry.
 //!
 //! Durability: what a node promises (a vote, an accepted entry) is sent only after
-//! [`Event::Persisted`] has covered it, and a leader counts its own copy of an entry from then on.
+//! [`Event::Persisted`] has covered it, and a leader counts its own copy of an entry only from then
+//! on.
 //!
-//! Lease: an answered heartbeat proves that a quorum heard the leader after it was sent. No member
-//! of that quorum votes for another within [`Config::election_timeout`] of hearing it, so until then, less
-//! the clocks' drift, there is no other leader.
+//! Lease: a heartbeat that a quorum has answered was received by these members after it was sent.
+//! None of them votes for another candidate within [`Config::election_timeout`] of receiving it. So
+//! until then, less the clock drift, there can be no other leader.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -45,43 +47,45 @@
 use crate::Snapshot;
 use crate::Term;
 
-/// Entries in one message at most.
+/// Maximum number of entries in a message.
 const MAX_ENTRIES_PER_MESSAGE: usize = 256;
 
-/// Bytes of commands in one message, beyond its first entry: what is not acknowledged is sent again
-/// with every heartbeat.
+/// Maximum size of the commands in a message in bytes, not counting its first entry. Limited
+/// because unacknowledged entries are sent again with every heartbeat.
 const MAX_ENTRY_BYTES_PER_MESSAGE: usize = 256 << 10;
 
-/// Time before a snapshot that was not acknowledged is sent again.
+/// Interval after which an unacknowledged snapshot is sent again.
 const SNAPSHOT_RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Entries that a learner may lack when it becomes a voter: what one message brings.
+/// Maximum number of entries that a learner may lack when it is promoted: as many as one message
+/// carries.
 const MAX_LEARNER_LAG: Index = MAX_ENTRIES_PER_MESSAGE as Index;
 
-/// Heartbeats whose sending time is remembered.
+/// Maximum number of heartbeat rounds whose sending time is kept.
 const MAX_TRACKED_ROUNDS: usize = 64;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Progress {
     next: Index,
     matched: Index,
-    /// When the latest answered heartbeat was sent.
+    /// When the latest heartbeat that was answered was sent.
     last_acked_sent: Option<Instant>,
-    /// When the leader first sent it something.
+    /// When the leader first sent anything to this member.
     first_sent: Instant,
     /// When a snapshot was last sent.
     snapshot_sent: Option<Instant>,
 }
 
 impl Progress {
-    /// Whether it lacks a snapshot, which stands for the entries up to `base` and was sent so lately that it may still arrive.
+    /// Whether the member needs a snapshot, which covers the entries up to `base`, and one was sent
+    /// so recently that it may still arrive.
     fn awaits_snapshot(&self, now: Instant, base: Index) -> bool {
         self.next <= base
             && self.snapshot_sent.is_some_and(|at| now < at + SNAPSHOT_RESEND_INTERVAL)
     }
 }
 
-/// A message that waits until something is durable.
+/// A message that is held back until something is durable.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct DeferredMessage {
     number: u64,
@@ -89,39 +93,40 @@
     message: Message,
 }
 
-/// One member of the agreement.
+/// A member of the Raft group.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Node {
     config: Config,
-    /// Always none in production.
+    /// Rule that a test disabled; always none in production.
     disabled_rule: Option<Rule>,
     log: Log,
-    /// What stands for the entries that the log no longer has.
+    /// The latest snapshot, which covers the entries that the log no longer has.
     snapshot: Option<Snapshot>,
     term: Term,
     vote: Option<NodeId>,
     role: Role,
     leader: Option<NodeId>,
-    /// When a leader was last heard, or the node started: it may have answered one just before.
+    /// When a message of a leader last arrived. Initially the node's start, since it may have
+    /// answered a leader just before.
     last_leader_contact: Instant,
     deadline: Instant,
-    votes: BTreeSet<NodeId>,
+    votes_received: BTreeSet<NodeId>,
     progress: BTreeMap<NodeId, Progress>,
     round: u64,
     rounds: VecDeque<(u64, Instant)>,
     commit: Index,
     persist_number: u64,
     persisted_number: u64,
-    /// Position up to which this node's own entries are durable.
+    /// Index up to which this node's own entries are durable.
     durable: Index,
-    /// Position that each [`Persist`] makes durable.
+    /// Number of each pending [`Persist`], and the index up to which it makes entries durable.
     pending_persists: VecDeque<(u64, Index)>,
     deferred: VecDeque<DeferredMessage>,
-    jitter: u64,
+    jitter_seed: u64,
 }
 
 impl Node {
-    /// A node that starts at `now` with what is on its disk.
+    /// A node that starts at `now` with this persistent state.
     pub fn start(config: Config, durable: DurableState, now: Instant) -> Self {
         let log = durable.log();
         let DurableState { term, vote, snapshot, .. } = durable;
@@ -129,7 +134,7 @@
         let commit = log.base_index();
         let mut node = Self {
             disabled_rule: None,
-            jitter: config.seed,
+            jitter_seed: config.seed,
             config,
             log,
             term,
@@ -138,7 +143,7 @@
             leader: None,
             last_leader_contact: now,
             deadline: now,
-            votes: BTreeSet::new(),
+            votes_received: BTreeSet::new(),
             progress: BTreeMap::new(),
             round: 0,
             rounds: VecDeque::new(),
@@ -154,7 +159,7 @@
         node
     }
 
-    /// The same node with a rule off.
+    /// Disables a rule, for tests.
     #[doc(hidden)]
     #[must_use]
     pub fn with_rule_disabled(mut self, rule: Option<Rule>) -> Self {
@@ -176,37 +181,38 @@
         self.snapshot.as_ref()
     }
 
-    /// Its role.
+    /// The node's current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Its term.
+    /// The node's current term.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Who leads, as far as it knows.
+    /// The current leader, if known.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// Position up to which entries are committed.
+    /// The commit index.
     pub fn committed(&self) -> Index {
         self.commit
     }
 
-    /// Its log.
+    /// The node's log.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// Position up to which `id` has this leader's log.
+    /// Index up to which the log of `id` is known to match this leader's.
     pub fn matched(&self, id: NodeId) -> Index {
         self.progress.get(&id).map_or(0, |progress| progress.matched)
     }
 
-    /// Time since `id` last answered this leader, or since this leader first sent it something.
+    /// Time since `id` last answered this leader; if it has not answered, since this leader first
+    /// sent it anything.
     pub fn time_since_reply(&self, id: NodeId, now: Instant) -> Duration {
         if id == self.config.id {
             return Duration::ZERO;
@@ -218,12 +224,12 @@
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
-    /// When it wants [`Event::Tick`].
+    /// When the node expects the next [`Event::Tick`].
     pub fn next_deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// Until when no other node can lead; none if this node has no lease.
+    /// The time until which no other node can become leader; none if this node has no lease.
     pub fn lease_until(&self) -> Option<Instant> {
         if self.role != Role::Leader {
             return None;
@@ -232,14 +238,15 @@
         let mut acked: Vec<Option<Instant>> =
             voters.iter().map(|id| self.last_acked_by(*id)).collect();
         acked.sort_unstable();
-        // The latest time that more than half of the voters reach.
+        // The latest sending time that a majority of the voters have answered.
         let quorum = acked.len() / 2 + 1;
         let since = acked.len().checked_sub(quorum).and_then(|i| acked[i])?;
         let lease_per_mille = 1_000_u32.saturating_sub(2 * self.config.max_drift_per_mille);
         Some(since + self.config.election_timeout * lease_per_mille / 1_000)
     }
 
-    /// When the latest heartbeat was sent that `id` answered; this node answers its own at once.
+    /// When the latest heartbeat that `id` answered was sent; this node answers its own
+    /// immediately.
     fn last_acked_by(&self, id: NodeId) -> Option<Instant> {
         if id == self.config.id {
             return self.rounds.back().map(|(_, at)| *at);
@@ -247,14 +254,15 @@
         self.progress.get(&id).and_then(|progress| progress.last_acked_sent)
     }
 
-    /// Whether `id` answered lately, or has not had the time to.
+    /// Whether `id` answered a heartbeat sent after `first_sent`, or was first sent anything after
+    /// it.
     fn is_responsive(&self, id: NodeId, since: Option<Instant>) -> bool {
         let Some(since) = since else { return true };
         let first_sent = self.progress.get(&id).map(|progress| progress.first_sent);
         self.last_acked_by(id).max(first_sent).is_some_and(|acked| acked >= since)
     }
 
-    /// Applies an event; what to do is appended to `out`.
+    /// Handles an event and appends the actions to carry out to `out`.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick if now >= self.deadline => self.tick(now, out),
@@ -289,10 +297,10 @@
         }
     }
 
-    /// Sets the time at which this node seeks to be elected.
+    /// Sets a new random election deadline.
     fn reset_election_deadline(&mut self, now: Instant) {
-        self.jitter = self.jitter.wrapping_add(1);
-        let mut rng = Pcg64Mcg::seed_from_u64(self.jitter);
+        self.jitter_seed = self.jitter_seed.wrapping_add(1);
+        let mut rng = Pcg64Mcg::seed_from_u64(self.jitter_seed);
         let shortest = self.config.election_timeout.as_micros() as u64;
         let wait = rng.random_range(shortest..shortest * 2);
         self.deadline = now + Duration::from_micros(wait);
@@ -310,7 +318,7 @@
     fn request_pre_votes(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.set_role(Role::PreCandidate, out);
         self.leader = None;
-        self.votes = BTreeSet::from([self.config.id]);
+        self.votes_received = BTreeSet::from([self.config.id]);
         let message = Message::PreVote {
             term: self.term + 1,
             last_term: self.log.last_term(),
@@ -325,7 +333,7 @@
     fn start_election(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.term += 1;
         self.vote = Some(self.config.id);
-        self.votes.clear();
+        self.votes_received.clear();
         self.set_role(Role::Candidate, out);
         self.reset_election_deadline(now);
         let number = self.persist(Vec::new(), out);
@@ -340,7 +348,7 @@
     }
 
     fn count_votes(&mut self, now: Instant, out: &mut Vec<Action>) {
-        if !self.log.members().is_quorum(|id| self.votes.contains(&id)) {
+        if !self.log.members().is_quorum(|id| self.votes_received.contains(&id)) {
             return;
         }
         match self.role {
@@ -358,7 +366,7 @@
         self.append(now, Payload::Noop, out);
     }
 
-    /// Appends an entry to the leader's own log and sends it to all.
+    /// Appends an entry to the leader's own log and sends it to the other members.
     fn append(&mut self, now: Instant, payload: Payload, out: &mut Vec<Action>) -> Index {
         let entry = self.log.push(self.term, payload);
         let index = entry.index;
@@ -403,7 +411,7 @@
             return;
         }
         let next = progress.next.max(base + 1);
-        // A heartbeat only, until the snapshot has arrived.
+        // Only a heartbeat until the snapshot has been installed.
         let entries = if lacks_snapshot {
             Vec::new()
         } else {
@@ -444,7 +452,8 @@
         }
     }
 
-    /// Asks for what the node promises to be made durable; returns the request's number.
+    /// Requests that the term, the vote and `entries` are made durable; returns the number of the
+    /// request.
     fn persist(&mut self, entries: Vec<Entry>, out: &mut Vec<Action>) -> u64 {
         self.persist_with(None, entries, out)
     }
@@ -458,7 +467,7 @@
         self.persist_number += 1;
         let number = self.persist_number;
         if let Some(first) = entries.first() {
-            // What is replaced is not durable any more.
+            // Replaced entries are no longer durable.
             self.durable = self.durable.min(first.index - 1);
             for persisting in &mut self.pending_persists {
                 persisting.1 = persisting.1.min(first.index - 1);
@@ -472,7 +481,7 @@
         number
     }
 
-    /// Sends a message once the request with `number` is durable.
+    /// Sends a message once the persist request `number` is durable.
     fn send_after(&mut self, number: u64, to: NodeId, message: Message, out: &mut Vec<Action>) {
         if number <= self.persisted_number || !self.enforces(Rule::PersistBeforeReply) {
             out.push(Action::Send { to, message });
@@ -488,14 +497,14 @@
         }
         while let Some(deferred) = self.deferred.pop_front_if(|deferred| deferred.number <= number)
         {
-            // A promise of an earlier term is void.
+            // Promises of earlier terms are void.
             if deferred.message.term() == self.term {
                 out.push(Action::Send { to: deferred.to, message: deferred.message });
             }
         }
         match self.role {
             Role::Candidate if self.persisted_number == self.persist_number => {
-                self.votes.insert(self.config.id);
+                self.votes_received.insert(self.config.id);
                 self.count_votes(now, out);
             }
             Role::Leader => self.advance_commit(now, out),
@@ -521,7 +530,7 @@
             }
             Message::PreVoteReply { term, granted } => {
                 if granted && self.role == Role::PreCandidate && term == self.term + 1 {
-                    self.votes.insert(from);
+                    self.votes_received.insert(from);
                     self.count_votes(now, out);
                 } else if term > self.term {
                     self.become_follower(now, term, None, out);
@@ -534,7 +543,7 @@
                 if term > self.term {
                     self.become_follower(now, term, None, out);
                 } else if granted && term == self.term && self.role == Role::Candidate {
-                    self.votes.insert(from);
+                    self.votes_received.insert(from);
                     self.count_votes(now, out);
                 }
             }
@@ -544,12 +553,12 @@
         }
     }
 
-    /// Whether a leader was heard so lately that it may hold a lease.
+    /// Whether a leader's message arrived so recently that the leader may hold a lease.
     fn has_recent_leader(&self, now: Instant) -> bool {
         self.role == Role::Leader || now < self.last_leader_contact + self.config.election_timeout
     }
 
-    /// Whether a candidate's log has at least what this one has.
+    /// Whether a candidate's log is at least as up-to-date as this one.
     fn is_candidate_up_to_date(&self, last_term: Term, last_index: Index) -> bool {
         !self.enforces(Rule::VoteChecksLog)
             || self.log.is_candidate_up_to_date(last_term, last_index)
@@ -564,7 +573,7 @@
         out: &mut Vec<Action>,
     ) {
         if term > self.term && self.has_recent_leader(now) {
-            // The lease of the leader that was heard forbids even to learn of the term.
+            // The lease of the known leader also forbids adopting the candidate's term.
             return;
         }
         if term > self.term {
@@ -603,7 +612,7 @@
         self.last_leader_contact = now;
         self.reset_election_deadline(now);
         let base = self.log.base_index();
-        // What this node's snapshot stands for is committed, so the leader has the same.
+        // Entries covered by this node's snapshot are committed, so the leader has the same ones.
         let prev_matches = prev_index < base
             || self.log.term_at(prev_index) == Some(prev_term)
             || (!self.enforces(Rule::AppendChecksPrevious) && prev_index <= self.log.last_index());
@@ -622,7 +631,7 @@
         self.send_after(self.persist_number, from, message, out);
     }
 
-    /// Takes a leader's snapshot, unless this node has committed as much.
+    /// Handles a leader's snapshot; installs it unless this node has committed as much.
     fn handle_install(
         &mut self,
         now: Instant,
@@ -650,7 +659,7 @@
         self.log.install(&snapshot);
         self.commit = snapshot.index;
         self.snapshot = Some(snapshot.clone());
-        // Entries that did not follow from it are gone.
+        // Entries that did not continue the snapshot are gone.
         let last = self.log.last_index();
         self.durable = self.durable.min(last);
         for persisting in &mut self.pending_persists {
@@ -660,7 +669,7 @@
         out.push(Action::Restore { snapshot });
     }
 
-    /// Drops committed entries for which the owner has its state.
+    /// Replaces committed entries by a snapshot of the owner's state.
     fn compact(&mut self, index: Index, data: Vec<u8>, out: &mut Vec<Action>) {
         if index <= self.log.base_index() || index > self.commit {
             return;
@@ -702,14 +711,14 @@
                 progress.next = back.max(progress.matched + 1);
             }
         }
-        // Whoever waits for a snapshot would refuse whatever else it is sent, at once and again.
+        // A member that waits for a snapshot rejects entries at once, which would repeat in a loop.
         if progress.next <= last && !progress.awaits_snapshot(now, base) {
             self.send_entries(now, from, out);
         }
         self.advance_commit(now, out);
     }
 
-    /// Commits what a quorum has durably.
+    /// Commits entries that are durable at a quorum.
     fn advance_commit(&mut self, now: Instant, out: &mut Vec<Action>) {
         let has = |id: NodeId, index: Index| {
             let matched = self.progress.get(&id).map_or(0, |progress| progress.matched);
@@ -731,10 +740,10 @@
         }
         self.commit_to(index, out);
         if self.log.members().all().all(|id| id != self.config.id) {
-            // Its own removal is committed.
+            // This node's own removal is committed.
             self.become_follower(now, self.term, None, out);
         } else {
-            // The followers learn of it at once and not with the next heartbeat.
+            // Followers learn of the commit now, not with the next heartbeat.
             self.heartbeat(now, out);
         }
     }
