--- a/crates/vaneway-marks/src/lib.rs
+++ b/crates/vaneway-marks/src/lib.rs
@@ -1,18 +1,19 @@
-//! Leaving marks spread between boxes by push and anti-entropy, without I/O.
+//! Gossip of marks for leaving instances, by push and anti-entropy, without I/O.
 //!
-//! Why: the cloud's notice that a box will be taken back may reach one entry box only, and every
-//! entry box must stop sending work there within seconds, although datagrams are lost and an entry
-//! box may have been down when the notice came.
+//! The cloud's notice that a box will be reclaimed may reach only one entry box, but every entry
+//! box must stop sending work there within seconds, although datagrams are lost and an entry box
+//! may have been down when the notice arrived.
 //!
-//! Data flow: whoever learns of a mark first pushes it to its peers at once; whoever hears of it
-//! for the first time pushes it on. At every tick a node sends a digest of its marks to a few
-//! random peers (Demers et al., "Epidemic Algorithms for Replicated Database Maintenance", 1987);
-//! a peer whose digest differs answers with all its marks and asks for the other's. A node that
-//! starts says hello to every peer and gets all their marks.
+//! Data flow: a node that records a new mark pushes it to some of its peers at once, and each peer
+//! to which it is new pushes it on. At every tick a node sends a digest of its marks to a few
+//! random peers (Demers et al., "Epidemic Algorithms for Replicated Database Maintenance", 1987). A
+//! peer whose digest differs answers with all its marks and its own digest, so that it receives the
+//! sender's marks as well. A node that starts sends [`Message::Hello`] to every peer and receives
+//! all their marks.
 //!
-//! A mark names an instance of a box, so it can't hurt the box's next instance. Marks are only
-//! added, the earlier time wins, and each is forgotten some time after its box is gone; so
-//! datagrams may be lost, repeated and reordered freely.
+//! A mark is for one instance of a box, so it cannot affect the box's next instance. Marks are only
+//! added, the earlier time wins, and each mark is removed some time after its box is gone. So
+//! datagrams may be lost, repeated and reordered.
 
 use std::collections::BTreeMap;
 use std::hash::DefaultHasher;
@@ -27,81 +28,83 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Position of a peer in the settings.
+/// Index of a peer in the settings.
 pub type PeerId = usize;
 
-/// Time between two ticks.
+/// Interval at which [`Marks::tick`] is called.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Peers that a new mark is pushed to; fewer boxes than that hear it from the first one.
+/// Number of peers that a new mark is pushed to. A group with fewer peers gets it from the first
+/// box.
 const PUSH_FANOUT: usize = 8;
 
-/// Peers that get a digest at each tick.
+/// Number of peers that receive a digest at each tick.
 pub const DIGEST_FANOUT: usize = 2;
 
-/// Marks in one message: about half of the smallest datagram that every network carries.
+/// Maximum number of marks in a message: about half of the smallest datagram that every network
+/// carries.
 const MAX_MARKS_PER_MESSAGE: usize = 8;
 
-/// How long a mark is kept after its box is gone: longer than the platform's list lags.
+/// How long a mark is kept after its box is gone: longer than the lag of the platform's list.
 const MARK_RETENTION: Duration = Duration::from_mins(10);
 
-/// Names one life of a box.
+/// Identifies one instance of a box.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Instance {
-    /// The box, as the platform names it.
+    /// Name of the box on the platform.
     pub box_name: String,
     /// The platform's id of the instance.
     pub instance: String,
 }
 
-/// A mark as it travels. Times are relative, since the boxes' clocks may differ.
+/// A mark as it is sent. Times are relative, since the boxes' clocks may differ.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
-    /// What is marked.
+    /// The marked instance.
     pub instance: Instance,
-    /// Milliseconds until it is gone.
+    /// Milliseconds until the instance is gone.
     pub gone_in_ms: u64,
 }
 
-/// What nodes send each other.
+/// A message between nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// I have started: send me your marks.
+    /// The sender has started and requests all marks.
     Hello,
-    /// Some marks.
+    /// Marks of the sender.
     Push {
-        /// The marks.
+        /// Up to `MAX_MARKS_PER_MESSAGE` marks.
         marks: Vec<Mark>,
     },
-    /// All that I have comes to this.
+    /// Digest of all marks of the sender.
     Digest {
-        /// Digest of the marked instances.
+        /// Hash of the marked instances.
         digest: u64,
-        /// Whether it answers another digest.
+        /// Whether it answers another digest, so that it is not answered by a digest again.
         answers: bool,
     },
 }
 
-/// What to do.
+/// An action that the owner must carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send a message.
     Send {
-        /// To whom.
+        /// Receiver of the message.
         to: PeerId,
         /// The message.
         message: Message,
     },
-    /// Apply a mark that a peer told and that is new here, or whose time came forward.
+    /// Apply a mark received from a peer that is new here or has an earlier time than before.
     Apply {
-        /// What is marked.
+        /// The marked instance.
         instance: Instance,
-        /// When it is gone.
+        /// When the instance is gone.
         gone_at: Instant,
     },
 }
 
-/// The marks that one node knows.
+/// The marks known at one node.
 #[derive(Debug)]
 pub struct Marks {
     peers: usize,
@@ -110,28 +113,28 @@
 }
 
 impl Marks {
-    /// No marks yet, among so many peers; random numbers come from `seed`.
+    /// An empty set of marks at a node with `peers` peers; random numbers are seeded with `seed`.
     pub fn new(peers: usize, seed: u64) -> Self {
         Self { peers, known: BTreeMap::new(), rng: Pcg64Mcg::seed_from_u64(seed) }
     }
 
-    /// How many marks are known.
+    /// Number of marks.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether no mark is known.
+    /// Whether there are no marks.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Begins: says hello to every peer.
+    /// Starts the protocol: sends [`Message::Hello`] to every peer.
     pub fn start(&mut self, out: &mut Vec<Action>) {
         out.extend((0..self.peers).map(|to| Action::Send { to, message: Message::Hello }));
     }
 
-    /// Learns of a mark that this box has applied itself, for example from the platform; true if
-    /// it is news, which is pushed on.
+    /// Records a mark that this box has applied itself, for example from the platform's notice.
+    /// Returns true if it is new; it is then pushed to peers.
     pub fn record(
         &mut self,
         now: Instant,
@@ -149,7 +152,7 @@
         true
     }
 
-    /// Applies a message.
+    /// Handles a message.
     pub fn handle(&mut self, now: Instant, from: PeerId, message: Message, out: &mut Vec<Action>) {
         match message {
             Message::Hello => self.send_all(now, from, out),
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Time passes: forgets old marks and compares with a few peers.
+    /// Removes old marks and sends a digest to a few random peers.
     pub fn tick(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.known.retain(|_, gone_at| now < *gone_at + MARK_RETENTION);
         let message = Message::Digest { digest: self.digest(), answers: false };
@@ -184,10 +187,10 @@
         }
     }
 
-    /// Adds a mark; false if it says nothing new. Times differ a little by the way a mark took,
-    /// so only one that comes forward by more than that is news.
+    /// Adds a mark; returns false if it is known already. The times differ slightly by the network
+    /// delay, so a known mark changes only if its time is earlier by more than that.
     fn add(&mut self, instance: &Instance, gone_at: Instant) -> bool {
-        /// Difference that the time on the way can explain.
+        /// Difference that the network delay can explain.
         const TOLERANCE: Duration = Duration::from_millis(500);
         match self.known.get_mut(instance) {
             Some(known) if gone_at + TOLERANCE >= *known => false,
@@ -202,7 +205,7 @@
         }
     }
 
-    /// Digest of the marked instances, without their times.
+    /// Hash of the marked instances, without their times.
     fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for instance in self.known.keys() {
@@ -225,7 +228,7 @@
         }
     }
 
-    /// Up to `count` different peers at random.
+    /// Up to `count` distinct random peers.
     fn random_peers(&mut self, count: usize) -> Vec<PeerId> {
         let mut peers: Vec<PeerId> = (0..self.peers).collect();
         let count = count.min(peers.len());
