--- a/crates/vaneway-quota/src/demand.rs
+++ b/crates/vaneway-quota/src/demand.rs
@@ -1,12 +1,13 @@
-//! What an organisation asks for, as a rate.
+//! Demand of an organisation, as a rate.
 
 use std::time::Duration;
 
-/// Time over which a demand is averaged: long enough that a few large requests of a small organisation are no
-/// flood, and short against the seconds in which a flood empties a bucket.
+/// Time constant of the moving average: long enough that a few large requests of a small
+/// organisation do not look like a load spike, and short compared with the seconds in which a spike
+/// empties a bucket.
 const TIME_CONSTANT: Duration = Duration::from_millis(500);
 
-/// Units asked for lately, admitted or not; older ones count less and less.
+/// Exponentially decaying sum of the units requested recently, admitted or not.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Demand {
     units: f64,
@@ -14,18 +15,18 @@
 }
 
 impl Demand {
-    /// Counts units that were asked for at `now`.
+    /// Adds units requested at `now`.
     pub fn add(&mut self, now: Duration, units: f64) {
         self.units = self.left(now) + units;
         self.at = self.at.max(now);
     }
 
-    /// Units asked for in a second.
+    /// Units requested per second.
     pub fn rate(&self, now: Duration) -> f64 {
         self.left(now) / TIME_CONSTANT.as_secs_f64()
     }
 
-    /// When units were last asked for.
+    /// When units were last requested.
     pub fn latest(&self) -> Duration {
         self.at
     }
