--- a/crates/vaneway-server/src/core/control/capacity.rs
+++ b/crates/vaneway-server/src/core/control/capacity.rs
@@ -1,5 +1,4 @@
-//! Orders of replicas: what the planners of the services go by, and the calls that carry out what
-//! they decide.
+//! Orders of replicas: the inputs of each service's planner, and the calls that place its orders.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -29,17 +28,17 @@
 use crate::util::clock;
 use crate::util::logline::Line;
 
-/// Silence after which a replica no longer counts as running.
+/// Maximum age of the last heartbeat of a replica that counts as running.
 const MAX_HEARTBEAT_AGE: Duration = Duration::from_secs(5);
 
-/// Time after the start of a control box before it knows all replicas by their heartbeats.
+/// Time after the start of a control box until it has received a heartbeat of every replica.
 const REGISTRY_WARM_UP: Duration = Duration::from_secs(3);
 
-/// Time for which work must have been seen before the demand is acted on: a little more than what the
-/// rates are measured over, since a box that has just become the leader has not heard all of it.
+/// Time for which work must have been observed before the demand is acted on. A little longer than
+/// the rates are measured over, since a new leader has not received all of the work.
 const MIN_OBSERVATION_TIME: Duration = Duration::from_secs(5);
 
-/// The demand for a service, and what it was seen by.
+/// The demand for a service, and the reports that it is based on.
 #[derive(Debug, Clone, Copy)]
 struct ObservedDemand {
     demand: Demand,
@@ -50,14 +49,14 @@
 #[derive(Debug, Default)]
 pub struct Orders {
     planners: BTreeMap<String, Planner>,
-    /// When work for a service was first seen here.
+    /// When work for a service was first observed here.
     observed_since: BTreeMap<String, Instant>,
-    /// The work for a service when all entry boxes were last heard.
+    /// The rates of work for a service when all entry boxes last reported.
     rates: BTreeMap<String, Rates>,
 }
 
 impl Orders {
-    /// Gives the orders that are due.
+    /// Places the orders that are due.
     pub async fn place_due<C: CloudProtocol>(
         &mut self,
         control: &Control,
@@ -94,11 +93,12 @@
         }
     }
 
-    /// Follows the load and the fleet while another box gives the orders.
+    /// Updates the planners with the load and the replicas while another box places the orders.
     ///
-    /// Why: a leader that has just been elected, perhaps because of what also took the replicas, must not take the
-    /// fleet that it finds for what the load needs. One that did would order a third of it until it knows the
-    /// demand, for five seconds in which hardly a request is in time.
+    /// The failure that led to an election may also have taken down replicas. A new leader must not
+    /// mistake the remaining replicas for what the load needs: until it knows the demand, it would
+    /// order only a third of what is needed, for five seconds in which hardly any request is
+    /// answered in time.
     pub fn watch(&mut self, control: &Control) {
         let Some(current) = control.machine.borrow().current_configuration().cloned() else {
             return;
@@ -120,7 +120,8 @@
         planner.or_insert_with(|| Planner::new(control.settings.capacity))
     }
 
-    /// What the planner of a service goes by, with the demand if all of it was seen, and as much of it as was seen.
+    /// The input of a service's planner, and the demand that was observed. The input contains the
+    /// demand only if all of it was observed.
     fn input(
         &mut self,
         control: &Control,
@@ -139,8 +140,8 @@
         (input, observed)
     }
 
-    /// The demand for a service; none while too little was seen of its engines, or not for long, or while
-    /// no entry box is heard.
+    /// The demand for a service; none while too little of its engines has been observed, or not for
+    /// long enough, or while no entry box reports.
     fn demand(
         &mut self,
         control: &Control,
@@ -171,7 +172,8 @@
     }
 }
 
-/// Tells the planner of a service of a demand that was not seen in full: it may order more by that, not less.
+/// Passes a demand that was only partly observed to the planner, as a lower bound: it may order
+/// more replicas because of it, but not fewer.
 fn record_lower_bound(planner: &mut Planner, observed: Option<ObservedDemand>) {
     if let Some(ObservedDemand { demand, .. }) =
         observed.filter(|observed| !observed.coverage.is_complete())
@@ -180,7 +182,8 @@
     }
 }
 
-/// Adds the demand in replicas, what keeps them busy, and whose news that goes by.
+/// Adds the demand in replicas, the resources that determine it, and the reports that it is based
+/// on.
 fn with_demand(line: Line, observed: Option<ObservedDemand>, control: &Control) -> Line {
     let Some(ObservedDemand { demand, coverage }) = observed else {
         let known = entry_updates::sharers(control).known;
@@ -196,7 +199,7 @@
         .with("memory", replicas(demand.memory))
 }
 
-/// Adds whose news a decision goes by.
+/// Adds the reports that a decision is based on.
 fn with_coverage(line: Line, coverage: ReportCoverage) -> Line {
     line.with("heard", coverage.reporting)
         .with("throughout", coverage.reporting_throughout)
@@ -204,7 +207,7 @@
         .with("news_ms_old", coverage.oldest_age.as_millis())
 }
 
-/// What runs of a service and what may be ordered; the demand is filled in later.
+/// What is running of a service and what may be ordered; the demand is added later.
 fn input(control: &Control, service: &str, spec: &CapacitySpec) -> Input {
     let now = clock::now();
     let mut running = BTreeMap::<(ZoneName, Kind), u32>::new();
@@ -213,12 +216,12 @@
         let Some(details) = known.details.as_ref().filter(|d| d.service == service) else {
             continue;
         };
-        let heard = now.saturating_duration_since(known.last_report_at) < MAX_HEARTBEAT_AGE;
+        let is_alive = now.saturating_duration_since(known.last_report_at) < MAX_HEARTBEAT_AGE;
         let kind = if details.reclaimable { Kind::Reclaimable } else { Kind::OnDemand };
         let zone = details.availability_zone.clone();
-        if known.lifecycle == Lifecycle::Ready && heard {
+        if known.lifecycle == Lifecycle::Ready && is_alive {
             *running.entry((zone, kind)).or_default() += 1;
-        } else if kind == Kind::Reclaimable && known.lifecycle == Lifecycle::Draining && heard {
+        } else if kind == Kind::Reclaimable && known.lifecycle == Lifecycle::Draining && is_alive {
             *leaving.entry(zone).or_default() += 1;
         }
     }
@@ -235,8 +238,8 @@
     }
 }
 
-/// What of a service's replicas is lost to limits that they name, in replicas; one that is busy all the time would do
-/// `full_rate` requests a second.
+/// Capacity of a service's replicas that is lost to the rate limits that they advertise, in
+/// replicas. A fully used replica would serve `full_rate` requests per second.
 fn replicas_lost_to_limits(control: &Control, service: &str, full_rate: f64) -> f64 {
     if full_rate <= 0.0 {
         return 0.0;
@@ -244,11 +247,11 @@
     let limits = control.limits.borrow();
     let registry = control.registry.borrow();
     let lost = registry.iter().filter_map(|(instance, known)| {
-        let named = limits
+        let limit = limits
             .get(instance)
-            .filter(|named| named.matches_incarnation(known.born) && !named.lifted)?;
+            .filter(|limit| limit.matches_incarnation(known.born) && !limit.lifted)?;
         let serves = known.details.as_ref().is_some_and(|details| details.service == service);
-        let served = (named.rate.per_second() / full_rate).min(1.0);
+        let served = (limit.rate.per_second() / full_rate).min(1.0);
         (serves && known.lifecycle == Lifecycle::Ready).then_some(1.0 - served)
     });
     lost.sum()
--- a/crates/vaneway-server/src/core/control/changes.rs
+++ b/crates/vaneway-server/src/core/control/changes.rs
@@ -1,4 +1,5 @@
-//! The latest changes of the configuration, from which entry boxes are told what differs from what they have.
+//! The latest configuration changes, from which entry boxes are sent the difference to the version
+//! that they have.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -9,37 +10,40 @@
 use crate::core::configuration_change::ConfigurationChange;
 use crate::util::frames::EncodedFrame;
 
-/// Changes that are kept at most.
+/// Maximum number of changes that are kept.
 const MAX_CHANGES: usize = 64;
 
-/// Routes, services and organisations in them at most.
+/// Maximum number of routes, services and organisations in all kept changes together.
 const MAX_PARTS: usize = 4_096;
 
-/// The latest changes, the last of which made the configuration that is agreed on.
+/// The latest configuration changes; the last one produced the committed configuration.
 #[derive(Debug, Default)]
 pub struct ConfigurationHistory {
-    kept: VecDeque<ConfigurationChange>,
-    /// Answers to entry boxes, by the version that they have; 0 for the whole.
+    changes: VecDeque<ConfigurationChange>,
+    /// Encoded answers to entry boxes, by the version that they have; 0 for the complete
+    /// configuration.
     encoded_updates: BTreeMap<Version, EncodedFrame>,
 }
 
 impl ConfigurationHistory {
-    /// Takes note that a configuration was agreed on after another one.
+    /// Records that the configuration `now` was committed after `before`.
     pub fn record(&mut self, before: Option<&Configuration>, now: &Configuration) {
         self.encoded_updates.clear();
         let change = before.and_then(|before| ConfigurationChange::between(before, now));
         let Some(change) = change else {
-            self.kept.clear();
+            self.changes.clear();
             return;
         };
-        self.kept.push_back(change);
-        let parts = |kept: &VecDeque<_>| kept.iter().map(ConfigurationChange::parts).sum::<usize>();
-        while self.kept.len() > MAX_CHANGES || parts(&self.kept) > MAX_PARTS {
-            self.kept.pop_front();
+        self.changes.push_back(change);
+        let parts =
+            |changes: &VecDeque<_>| changes.iter().map(ConfigurationChange::parts).sum::<usize>();
+        while self.changes.len() > MAX_CHANGES || parts(&self.changes) > MAX_PARTS {
+            self.changes.pop_front();
         }
     }
 
-    /// What leads an entry box that has a version to the configuration `now`, which is agreed on.
+    /// The message that brings an entry box from the version `have` to the committed configuration
+    /// `now`: a difference, or the complete configuration.
     pub fn update_since(&mut self, now: &Configuration, have: Version) -> EncodedFrame {
         let change = self.since(have);
         let version = change.as_ref().map_or(0, |change| change.base);
@@ -52,9 +56,9 @@
         update.clone()
     }
 
-    /// What differs from a version; none if its changes are not kept.
+    /// The difference to the version `have`; none if its changes are not kept.
     fn since(&self, have: Version) -> Option<ConfigurationChange> {
-        let from = self.kept.iter().position(|change| change.base == have)?;
-        self.kept.range(from..).cloned().reduce(ConfigurationChange::then)
+        let from = self.changes.iter().position(|change| change.base == have)?;
+        self.changes.range(from..).cloned().reduce(ConfigurationChange::then)
     }
 }
--- a/crates/vaneway-server/src/core/control/clock.rs
+++ b/crates/vaneway-server/src/core/control/clock.rs
@@ -1,11 +1,12 @@
-//! The cluster's time: true time as the control boxes agree on it, without I/O.
+//! The cluster time: the time of day that the control boxes agree on, without I/O.
 //!
-//! Why: the time of day of a single box may jump. Each control box tells the others its time of
-//! day; the median of what it heard lately and its own is the cluster's time, so that one wrong
-//! clock among three changes nothing. Between two tellings the steady clock goes on.
+//! The time of day of a single box may jump. Each control box sends the others its time of day; the
+//! cluster time is the median of its own and those received recently, so that one wrong clock among
+//! three has no effect. Between two updates, the monotonic clock is used.
 //!
-//! A box that starts takes the cluster's time from those that know it: most times of day may have jumped
-//! just then, which the others know from what they kept and this box can't.
+//! A box that starts adopts the cluster time of boxes that know it. The time of day of most boxes
+//! may have jumped at that moment, which the other boxes can tell by the cluster time that they
+//! keep, but this box cannot.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,48 +16,48 @@
 
 use crate::core::cluster_time::ClusterTime;
 
-/// How long another box's time counts after it was told.
+/// Maximum age of another box's time of day.
 const MAX_PEER_TIME_AGE: Duration = Duration::from_secs(5);
 
-/// Largest difference that is taken for drift and not for a step of some clock.
+/// Maximum difference that counts as drift and not as a clock step.
 const MAX_DRIFT: Duration = Duration::from_millis(100);
 
-/// Steps must last so long before the cluster follows them; the clocks of most boxes cannot all
-/// be wrong for long.
+/// Time for which a step must last before the cluster time follows it: the clocks of most boxes
+/// cannot all be wrong for long.
 const STEP_DELAY: Duration = Duration::from_secs(30);
 
-/// The times that one control box knows.
+/// The times known to one control box.
 #[derive(Debug, Default)]
 pub struct ClusterClock {
     others: BTreeMap<NodeId, ClusterTime>,
     received_at: BTreeMap<NodeId, Instant>,
-    /// The cluster's time as other boxes keep it, needed only until this box knows it.
+    /// The cluster time as other boxes keep it; only used until this box has one.
     others_cluster_time: BTreeMap<NodeId, ClusterTime>,
     established: Option<ClusterTime>,
-    /// Since when the median differs from what is kept.
+    /// Since when the median has differed from the cluster time.
     differs_since: Option<Instant>,
 }
 
 impl ClusterClock {
-    /// Learns the time of day of another control box.
+    /// Records the time of day of another control box.
     pub fn record_peer_time(&mut self, now: Instant, node: NodeId, since_epoch: Duration) {
         self.others.insert(node, ClusterTime::new(now, since_epoch));
         self.received_at.insert(node, now);
     }
 
-    /// Learns the cluster's time as another control box keeps it.
+    /// Records the cluster time of another control box.
     pub fn record_peer_cluster_time(&mut self, now: Instant, node: NodeId, since_epoch: Duration) {
         if self.established.is_none() {
             self.others_cluster_time.insert(node, ClusterTime::new(now, since_epoch));
         }
     }
 
-    /// The cluster's time as this box keeps it; none while it can't tell whether it is right.
+    /// The cluster time of this box; none while it cannot tell whether its time is right.
     pub fn established_time(&self, now: Instant) -> Option<Duration> {
         self.established.map(|established| established.since_epoch(now))
     }
 
-    /// The cluster's time; `own` is this box's time of day.
+    /// The cluster time; `own` is this box's time of day.
     pub fn read(&mut self, now: Instant, own: Duration) -> Duration {
         self.received_at.retain(|_, received_at| {
             now.saturating_duration_since(*received_at) < MAX_PEER_TIME_AGE
@@ -72,7 +73,7 @@
                 .map(|established| established.since_epoch(now))
                 .collect();
             let time = if others.is_empty() { median } else { self::median(&mut others) };
-            // Alone, a box can't tell whether its own clock is right.
+            // A box alone cannot tell whether its own clock is right.
             if times.len() >= 3 || !others.is_empty() {
                 self.established = Some(ClusterTime::new(now, time));
                 self.others_cluster_time.clear();
@@ -94,7 +95,7 @@
     }
 }
 
-/// The middle one of some times, of two the earlier; there must be one at least.
+/// The median, for an even number the earlier of the two middle times; there must be at least one.
 fn median(times: &mut [Duration]) -> Duration {
     times.sort_unstable();
     times[(times.len() - 1) / 2]
--- a/crates/vaneway-server/src/core/control/dissemination.rs
+++ b/crates/vaneway-server/src/core/control/dissemination.rs
@@ -1,9 +1,12 @@
-//! What a control box hears of endpoints, of requests that end them and of limits that they name, and passes on.
+//! Forwards what a control box learns about endpoints: registrations, requests under which they
+//! ended, and limits that they advertise.
 //!
-//! Data flow: endpoints register here, entry boxes and other control boxes tell what they heard. What is news here goes to
-//! the entry boxes, and to the other control boxes unless one of these told it ([`Source`]): so what one of n control boxes
-//! hears makes n messages between them, however they merge it. Whoever missed it is told all over the next connection.
-//! [`ForwardedCounts`] counts what goes out, since each piece becomes a message to every box.
+//! Data flow: endpoints register here; entry boxes and other control boxes send what they know.
+//! Whatever is new here is sent to the entry boxes, and also to the other control boxes unless one
+//! of them sent it ([`Source`]). So an update that one of n control boxes receives takes n messages
+//! between them, however they merge it. A box that missed updates receives everything with the next
+//! connection. [`ForwardedCounts`] counts the forwarded updates, since each becomes a message to
+//! every box.
 
 use std::cell::Cell;
 
@@ -20,33 +23,33 @@
 use crate::util::clock;
 use crate::util::logline::Line;
 
-/// Who told something.
+/// The sender of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
     /// The endpoint itself.
     Endpoint,
     /// An entry box.
     Entry,
-    /// Another control box, which has told all the others itself.
+    /// Another control box, which has sent it to all the others itself.
     Control,
 }
 
-/// A kind of news.
+/// Kind of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum UpdateKind {
-    /// Where endpoints stand.
+    /// Status of endpoints.
     Registrations,
-    /// Under which requests endpoints ended.
+    /// Requests under which endpoints ended.
     Findings,
-    /// Limits that endpoints named.
+    /// Limits that endpoints advertise.
     Limits,
 }
 
-/// Pieces of news passed on between two looks from which on their number is logged: more than a crash of a third of a large
-/// fleet makes.
+/// Number of updates forwarded between two checks from which it is logged: more than the failure of
+/// a third of a large fleet causes.
 const LOG_THRESHOLD: usize = 1_000;
 
-/// Pieces of news that this box passed on, by kind, since it was last looked at.
+/// Number of updates that this box forwarded since the last check, by kind.
 #[derive(Debug, Default)]
 pub struct ForwardedCounts {
     registrations: Cell<usize>,
@@ -64,7 +67,7 @@
         counter.update(|count| count + updates);
     }
 
-    /// Logs what was passed on since the last look, if it is much.
+    /// Logs the number of updates forwarded since the last check, if it is large.
     pub(super) fn log_if_many(&self) {
         let (registrations, findings, limits) =
             (self.registrations.take(), self.findings.take(), self.limits.take());
@@ -79,7 +82,7 @@
     }
 }
 
-/// All that another control box has to hear that may have missed some of it.
+/// All state that another control box must receive if it may have missed updates.
 pub(super) fn full_state(control: &Control) -> Vec<BetweenControl> {
     let now = control.time();
     let reports = control.registry.borrow().reports(clock::now());
@@ -95,7 +98,7 @@
     all
 }
 
-/// Takes in what another control box tells; what is no news is left alone.
+/// Merges what another control box sent.
 pub(super) fn merge_from_control(control: &Control, message: BetweenControl) {
     match message {
         BetweenControl::Registry(reports) => merge_endpoints(control, &reports, Source::Control),
@@ -103,7 +106,7 @@
             merge_quarantine_records(control, &findings, Source::Control);
         }
         BetweenControl::Limits(reported) => merge_limits(control, &reported, Source::Control),
-        // The answer to a ping has nothing that the ping on the other connection doesn't have.
+        // The answer to a ping contains nothing that the ping on the other connection does not.
         BetweenControl::Hello { .. }
         | BetweenControl::Ping { .. }
         | BetweenControl::Agreement { .. }
@@ -111,7 +114,7 @@
     }
 }
 
-/// Takes reports of endpoints in and passes on what is news.
+/// Merges reports of endpoints and forwards the new ones.
 pub fn merge_endpoints(control: &Control, reports: &[Report], source: Source) {
     let direct = source == Source::Endpoint;
     let now = clock::now();
@@ -120,8 +123,9 @@
         let born_before = control.registry.borrow().born(&report.instance);
         let change = control.registry.borrow_mut().merge(now, report);
         if born_before > 0 && control.registry.borrow().born(&report.instance) > born_before {
-            // It holds nothing of what the incarnation before kept.
-            control.parts.borrow_mut().remove_endpoint(&report.instance);
+            // The new incarnation of the endpoint holds none of the prompt parts that the previous
+            // one cached.
+            control.cached_parts.borrow_mut().remove_endpoint(&report.instance);
         }
         match change {
             Change::Updated => {
@@ -159,8 +163,8 @@
     }
 }
 
-/// Takes in under which requests endpoints ended, and passes on what is news: to the entry boxes that this box tells
-/// of others, and to the other control boxes, which may hear other entry boxes.
+/// Merges requests under which endpoints ended and forwards the new ones to the subscribed entry
+/// boxes and to the other control boxes, which may receive reports of other entry boxes.
 pub(super) fn merge_quarantine_records(
     control: &Control,
     findings: &[QuarantineRecord],
@@ -177,8 +181,8 @@
     }
 }
 
-/// Takes in which limits endpoints named, and has what is news told to the entry boxes that this box tells of others, and
-/// to the other control boxes.
+/// Merges limits that endpoints advertise. New ones are sent to the subscribed entry boxes and to
+/// the other control boxes with the next update of loads.
 pub(super) fn merge_limits(control: &Control, reported: &[EndpointLimit], source: Source) {
     let mut limits = control.limits.borrow_mut();
     let updates = limits.merge(control.time(), reported);
--- a/crates/vaneway-server/src/core/control/duties.rs
+++ b/crates/vaneway-server/src/core/control/duties.rs
@@ -1,11 +1,10 @@
-//! What the leader does towards the cloud: reports of what organisations used, and orders of
-//! replicas.
+//! The leader's duties towards the cloud: usage reports of organisations, and orders of replicas.
 //!
-//! Why a report is agreed on before it is sent: whoever leads next must send the same. The leader
-//! fixes a window's counts in the log a little after its end, and sends what is fixed until the
-//! cloud has taken it; a new leader sends the latest reports again, which the cloud takes for the
-//! same. Nothing is sent without a lease that is valid at that moment, and a new leader waits
-//! until calls of the one before must have arrived.
+//! A report is committed to the Raft log before it is sent, since the next leader must send the
+//! same one. The leader fixes the counts of a window shortly after its end and sends them until the
+//! cloud has accepted them. A new leader sends the latest reports again, which the cloud recognises
+//! as the same. Nothing is sent without a valid lease, and a new leader waits until all calls of
+//! the previous one must have arrived.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -28,39 +27,39 @@
 use crate::util::clock;
 use crate::util::logline::Line;
 
-/// Time between two looks at what is due.
+/// Interval between two checks of what is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time after a window's end at which its counts are fixed: entry boxes have told them by then.
+/// Delay after a window's end until its counts are fixed; entry boxes have reported them by then.
 const FIX_DELAY: Duration = Duration::from_millis(1_500);
 
-/// The same while an entry box that may be there has told nothing since the window's end, since it may be cut off for a
-/// while: long enough for most cuts, and short enough that a report is in time even if the leader is lost
-/// then.
+/// The same while an entry box that may be running has reported nothing since the window's end, as
+/// it may be partitioned for a while. Long enough for most partitions, and short enough that a
+/// report is in time even if the leader fails at that moment.
 const MAX_FIX_DELAY: Duration = Duration::from_secs(5);
 
-/// How long one call may take. Its connection is reset then, so that nothing of it can still
+/// Maximum duration of a call. Its connection is then reset, so that nothing of the call can still
 /// arrive.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time that a new leader waits: by then the lease of the one before is over, and so is any call
-/// that it began within its lease.
+/// Delay before a new leader acts: by then the lease of the previous leader has expired, and any
+/// call that it began within its lease has ended.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(1_600);
 
-/// How long the fixing of a report may take.
+/// Maximum time to commit the counts of a window.
 const FIX_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Windows before the present one for which a report may still be of use.
+/// Number of windows before the present one for which a report may still be useful.
 const MAX_WINDOWS_BACK: u64 = 4;
 
-/// Largest answer of the cloud that is read.
+/// Maximum size of an answer of the cloud in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
-/// Does the leader's duties until dropped.
+/// Performs the leader's duties until dropped.
 pub async fn run<C: CloudProtocol>(control: Rc<Control>, protocol: C) {
     let Some(cloud) = control.settings.cloud.clone() else { return };
     let mut sent = BTreeSet::new();
-    let mut began: Option<Window> = None;
+    let mut first_window: Option<Window> = None;
     let mut orders = Orders::default();
     loop {
         control.timers.sleep(CHECK_INTERVAL).await;
@@ -73,7 +72,7 @@
         }
         if cloud.usage_reports {
             let window = control.now().window;
-            let first = *began.get_or_insert(window);
+            let first = *first_window.get_or_insert(window);
             if holds_duty(&control) {
                 fix_reports(&control, first, window).await;
                 send_reports(&control, &cloud, &protocol, &mut sent, window).await;
@@ -89,21 +88,22 @@
     settled && control.has_valid_lease() && !control.stopping.get()
 }
 
-/// Whether a window that ended has to be reported by this box: it was up in it, or entry boxes tell of
-/// requests in it. The latter also holds for a window that ended while all control boxes were down.
+/// Whether this box must report a window that has ended: it was running in that window, or entry
+/// boxes report requests in it. The latter also covers a window that ended while all control boxes
+/// were down.
 pub fn is_report_due(ledger: &UsageLedger, reported: bool, first: Window, window: Window) -> bool {
     !reported && (window >= first || ledger.has_window(window))
 }
 
-/// Whether all that was used from `begin` to `end` is heard, where `known` entry boxes may be there: each has told something
-/// since. If none has, nothing is known of it.
+/// Whether the use from `begin` to `end` is completely reported, where `known` entry boxes may be
+/// running: each has reported since. If no box has, the use is not known.
 pub fn is_usage_complete(ledger: &UsageLedger, begin: Duration, end: Duration, known: u32) -> bool {
     let (first, last) = (vaneway_quota::slot(begin), vaneway_quota::slot(end));
     !ledger.awaits_reports(first, last) && ledger.reporters_since(last) >= known.max(1)
 }
 
-/// Fixes the counts of windows that ended and have no report yet; `first` is the window in which this
-/// box began to look.
+/// Fixes the counts of windows that have ended and have no report yet; `first` is the window in
+/// which this box started its duties.
 async fn fix_reports(control: &Rc<Control>, first: Window, present: Window) {
     let length = control.settings.window;
     for window in present.saturating_sub(MAX_WINDOWS_BACK)..present {
@@ -133,12 +133,12 @@
     }
 }
 
-/// What became of a call to the cloud.
+/// Result of a call to the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallResult {
-    /// It answered with this status.
+    /// The cloud answered with this status.
     Answered(StatusCode),
-    /// It may or may not have taken the call.
+    /// No answer: the cloud may or may not have processed the call.
     Unknown,
 }
 
@@ -148,7 +148,7 @@
     }
 }
 
-/// Calls the cloud.
+/// Makes a call to the cloud, with a time-out.
 pub(super) async fn call(
     control: &Control,
     cloud: &CloudSettings,
@@ -176,7 +176,7 @@
     }
 }
 
-/// Sends the reports that the cloud has not taken from this box.
+/// Sends the reports that the cloud has not yet accepted from this box.
 async fn send_reports<C: CloudProtocol>(
     control: &Rc<Control>,
     cloud: &CloudSettings,
--- a/crates/vaneway-server/src/core/control/entry_updates.rs
+++ b/crates/vaneway-server/src/core/control/entry_updates.rs
@@ -1,8 +1,9 @@
-//! What a control box tells entry boxes of each other.
+//! Updates about each other that a control box sends to entry boxes.
 //!
-//! Data flow: entry boxes say what they want to be told (`subscribe`), each of few control boxes.
-//! What the others took of quotas is told again and again ([`publish_usage`]), since it changes all the
-//! time; loads and kept prompt parts as soon as they change ([`publish_loads`]), the same bytes to all.
+//! Data flow: each entry box subscribes (`subscribe`) to updates at a few control boxes. The
+//! others' use of quotas is sent at a fixed interval ([`publish_usage`]), since it changes all the
+//! time; loads and cached prompt parts are sent as soon as they change ([`publish_loads`]), the
+//! same bytes to all.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -31,66 +32,66 @@
 use crate::util::clock;
 use crate::util::frames::EncodedFrame;
 
-/// How long an entry box that was lost counts as one that may still take requests.
+/// How long an entry box that was lost counts as one that may still admit requests.
 const LOST_ENTRY_RETENTION: Duration = Duration::from_secs(8);
 
-/// Age of the last sign of a leader up to which this box is not cut off.
+/// Maximum age of the last contact with a leader at which this box does not count as partitioned.
 const MAX_LEADER_AGE: Duration = Duration::from_millis(1_500);
 
-/// Tells the entry boxes again and again what the others used, until dropped.
+/// Sends entry boxes the others' usage at a fixed interval, until dropped.
 pub async fn publish_usage(control: Rc<Control>) {
     let mut boxes = Vec::new();
     let mut round: u64 = 0;
     loop {
         control.timers.sleep(USAGE_REPORT_INTERVAL).await;
         round += 1;
-        let now_boxes = links::control_boxes(&control);
-        if boxes != now_boxes {
-            links::send_to_entries(&control, &ToEntry::ControlBoxes(now_boxes.clone()));
+        let current_boxes = links::control_boxes(&control);
+        if boxes != current_boxes {
+            links::send_to_entries(&control, &ToEntry::ControlBoxes(current_boxes.clone()));
         }
-        boxes = now_boxes;
+        boxes = current_boxes;
         send_usage(&control, round.is_multiple_of(USAGE_REPORTS_PER_FULL)).await;
         send_box_numbers(&control).await;
     }
 }
 
-/// How many entry boxes are heard, and how many may be there. One that was lost may be cut off and
-/// go on taking requests, so it counts for a while; for good while this box knows of no leader, as
-/// it may then be this box that is cut off.
+/// Numbers of connected entry boxes, and of those that may be running. A lost entry box may be
+/// partitioned and still admit requests, so it counts as running for a while. It counts
+/// indefinitely while this box knows no leader, since this box may then be the partitioned one.
 pub(super) fn sharers(control: &Control) -> Sharers {
     let now = clock::now();
     let mut seen = control.entries_last_seen.borrow_mut();
-    for link in control.entries.borrow().values() {
-        seen.insert(link.start.0.clone(), now);
+    for link in control.entry_links.borrow().values() {
+        seen.insert(link.incarnation.0.clone(), now);
     }
     let reporting = seen.values().filter(|at| **at == now).count() as u32;
-    let is_led = now.saturating_duration_since(control.last_leader_at.get()) < MAX_LEADER_AGE;
-    if is_led {
+    let has_leader = now.saturating_duration_since(control.last_leader_at.get()) < MAX_LEADER_AGE;
+    if has_leader {
         seen.retain(|_, at| now.saturating_duration_since(*at) < LOST_ENTRY_RETENTION);
     }
     let seen = seen.len() as u32;
-    // A box that has just started has not seen those that still come, and would share out all retries among the
-    // first.
-    let more_may_connect = clock::elapsed(control.started) < LOST_ENTRY_RETENTION || !is_led;
+    // A box that has just started has not seen the entry boxes that have yet to connect, and would
+    // divide the complete retry budget among the first ones.
+    let more_may_connect = clock::elapsed(control.started) < LOST_ENTRY_RETENTION || !has_leader;
     let known = if more_may_connect { seen.max(control.reported_entry_count.get()) } else { seen };
     Sharers { reporting, known }
 }
 
-/// When each connected entry box made its last report that is recent.
+/// When each connected entry box made its last recent report.
 fn last_report_times(control: &Control, now: Duration) -> BTreeMap<EntryIncarnation, Duration> {
     let ledger = control.usage_ledger.borrow();
-    let links = control.entries.borrow();
+    let links = control.entry_links.borrow();
     let times = links.values().filter_map(|link| {
-        let at = ledger.last_report_at(now, &link.start)?;
-        Some((link.start.clone(), at))
+        let at = ledger.last_report_at(now, &link.incarnation)?;
+        Some((link.incarnation.clone(), at))
     });
     times.collect()
 }
 
-/// Tells entry boxes what the others took of quotas, if they want to know; all slots, or the latest.
+/// Sends subscribed entry boxes the others' use of quotas: all slots, or the latest.
 async fn send_usage(control: &Control, all: bool) {
-    let told = subscribers(control, |subscription| subscription.quotas);
-    if told.is_empty() {
+    let links = subscribers(control, |subscription| subscription.quotas);
+    if links.is_empty() {
         return;
     }
     let first = if all {
@@ -98,41 +99,42 @@
     } else {
         control.usage_ledger.borrow_mut().quotas().first_slot_to_send(SLOTS_PER_REPORT)
     };
-    let news = QuotaUpdate::of(control, first);
-    for link in told {
+    let update = QuotaUpdate::of(control, first);
+    for link in links {
         control.turns.next().await;
-        link.outgoing.send(&news.for_entry(control, &link.start));
+        link.outgoing.send(&update.for_entry(control, &link.incarnation));
     }
 }
 
-/// The connections of entry boxes that want to be told something.
-fn subscribers(control: &Control, what: impl Fn(Wanted) -> bool) -> Vec<Rc<EntryLink>> {
-    let links = control.entries.borrow();
-    links.values().filter(|link| what(link.subscription.get())).cloned().collect()
+/// Connections of the entry boxes for whose subscription `selects` is true.
+fn subscribers(control: &Control, selects: impl Fn(Wanted) -> bool) -> Vec<Rc<EntryLink>> {
+    let links = control.entry_links.borrow();
+    links.values().filter(|link| selects(link.subscription.get())).cloned().collect()
 }
 
-/// Tells entry boxes what all have open at endpoints and which prompt parts they brought there, as soon as
-/// it changes, until dropped.
+/// Sends subscribed entry boxes the loads of endpoints and the prompt parts cached there, as soon
+/// as they change, until dropped.
 pub async fn publish_loads(control: Rc<Control>) {
     let mut round: u64 = 0;
     loop {
         control.timers.sleep(LOAD_REPORT_INTERVAL).await;
         round += 1;
-        let whole = round.is_multiple_of(LOAD_REPORTS_PER_FULL);
-        send_parts(&control, whole).await;
+        let full = round.is_multiple_of(LOAD_REPORTS_PER_FULL);
+        send_parts(&control, full).await;
         send_limits(&control).await;
         let loads = {
             let mut ledger = control.usage_ledger.borrow_mut();
             let changed = ledger.loads().take_changed();
-            if whole { ledger.loads().all() } else { changed }
+            if full { ledger.loads().all() } else { changed }
         };
-        if loads.is_empty() && !whole {
+        if loads.is_empty() && !full {
             continue;
         }
-        let message = EncodedFrame::new(&ToEntry::Loads { whole, loads });
+        let message = EncodedFrame::new(&ToEntry::Loads { whole: full, loads });
         for link in subscribers(&control, |subscription| subscription.loads) {
             control.turns.next().await;
-            // One that has not taken in the last telling gets the next whole one, not a queue of old ones.
+            // An entry box with a queued update gets the next full one instead of a backlog of old
+            // ones.
             if !link.outgoing.has_queued() {
                 link.outgoing.send_encoded(&message);
             }
@@ -140,21 +142,21 @@
     }
 }
 
-/// Tells the prompt parts that entry boxes brought to endpoints; forgets old ones now and then.
-async fn send_parts(control: &Control, forget: bool) {
-    let news = {
-        let mut parts = control.parts.borrow_mut();
-        if forget {
+/// Sends new cached prompt parts; expires old ones if `expire` is set.
+async fn send_parts(control: &Control, expire: bool) {
+    let updates = {
+        let mut parts = control.cached_parts.borrow_mut();
+        if expire {
             parts.expire(clock::now());
         }
         parts.take_updates()
     };
-    if !news.is_empty() {
-        send_to_load_subscribers_in_turns(control, &ToEntry::Parts(news)).await;
+    if !updates.is_empty() {
+        send_to_load_subscribers_in_turns(control, &ToEntry::Parts(updates)).await;
     }
 }
 
-/// Sends a message to all entry boxes that this box tells of loads, one in a turn.
+/// Sends a message to the entry boxes that have subscribed to loads at this box, each in a turn.
 async fn send_to_load_subscribers_in_turns(control: &Control, message: &ToEntry) {
     let message = EncodedFrame::new(message);
     for link in subscribers(control, |subscription| subscription.loads) {
@@ -163,28 +165,29 @@
     }
 }
 
-/// Tells which limits endpoints named, to the entry boxes that this box tells of others and to the other control boxes.
+/// Sends new limits that endpoints advertise to the subscribed entry boxes, and those reported here
+/// to the other control boxes.
 async fn send_limits(control: &Control) {
-    let news = {
+    let updates = {
         let mut limits = control.limits.borrow_mut();
         let registry = control.registry.borrow();
         limits
             .remove_expired(control.time(), |name, born| limits::may_answer(&registry, name, born));
         limits.take_updates()
     };
-    if news.is_empty() {
+    if updates.is_empty() {
         return;
     }
-    let heard_here = control.limits_for_peers.take();
-    let for_peers = news.iter().filter(|news| heard_here.contains(&news.endpoint));
+    let reported_here = control.limits_for_peers.take();
+    let for_peers = updates.iter().filter(|update| reported_here.contains(&update.endpoint));
     let for_peers: Vec<EndpointLimit> = for_peers.cloned().collect();
     if !for_peers.is_empty() {
         peers::send_to_all(control, BetweenControl::Limits(for_peers));
     }
-    send_to_load_subscribers_in_turns(control, &ToEntry::Limits(news)).await;
+    send_to_load_subscribers_in_turns(control, &ToEntry::Limits(updates)).await;
 }
 
-/// Tells entry boxes which of all that there may be they are, as soon as it changes.
+/// Sends entry boxes their changed numbers among all entry boxes that may be running.
 async fn send_box_numbers(control: &Control) {
     for (link, number) in changed_box_numbers(control) {
         control.turns.next().await;
@@ -192,31 +195,31 @@
     }
 }
 
-/// The numbers of entry boxes that they have not been told yet, by the order of the names of all that may be there.
+/// Changed numbers of entry boxes, in the order of the names of all that may be running.
 fn changed_box_numbers(control: &Control) -> Vec<(Rc<EntryLink>, BoxNumber)> {
     let of = sharers(control).known;
     let seen = control.entries_last_seen.borrow();
     let numbers: BTreeMap<&str, u32> = seen.keys().map(String::as_str).zip(0..).collect();
     let changed =
         subscribers(control, |subscription| subscription.loads).into_iter().filter_map(|link| {
-            let number = BoxNumber { number: *numbers.get(link.start.0.as_str())?, of };
-            let is_news = link.box_number.replace(Some(number)) != Some(number);
-            is_news.then_some((link, number))
+            let number = BoxNumber { number: *numbers.get(link.incarnation.0.as_str())?, of };
+            let is_new = link.box_number.replace(Some(number)) != Some(number);
+            is_new.then_some((link, number))
         });
     changed.collect()
 }
 
-/// Begins or ceases to tell an entry box of the others; what it wants newly, it is told whole at once.
+/// Changes the subscription of an entry box, and sends it a full update of what it newly contains.
 pub(super) fn subscribe(control: &Control, link: u64, subscription: Wanted) {
-    let Some(link) = control.entries.borrow().get(&link).cloned() else { return };
+    let Some(link) = control.entry_links.borrow().get(&link).cloned() else { return };
     let before = link.subscription.replace(subscription);
     if subscription.quotas && !before.quotas {
-        link.outgoing.send(&QuotaUpdate::of(control, 0).for_entry(control, &link.start));
+        link.outgoing.send(&QuotaUpdate::of(control, 0).for_entry(control, &link.incarnation));
     }
     if subscription.loads && !before.loads {
         let loads = control.usage_ledger.borrow_mut().loads().all();
         link.outgoing.send(&ToEntry::Loads { whole: true, loads });
-        link.outgoing.send(&ToEntry::Parts(control.parts.borrow().all()));
+        link.outgoing.send(&ToEntry::Parts(control.cached_parts.borrow().all()));
         let findings = control.quarantine.borrow().valid_records(control.time());
         if !findings.is_empty() {
             link.outgoing.send(&ToEntry::QuarantineRecords(findings));
@@ -225,24 +228,24 @@
         if !limits.is_empty() {
             link.outgoing.send(&ToEntry::Limits(limits));
         }
-        // It goes by what it is told from now on.
+        // The entry box needs its number from now on.
         link.box_number.set(None);
     }
 }
 
-/// Who shares the quotas, as all that are told at a time are told.
+/// Use of quotas and the boxes that share them, the same for all receivers of an update.
 struct QuotaUpdate {
-    /// The entry boxes that are heard; none if this box can't tell the time.
+    /// Entry boxes that report in time; empty if this box does not know the time.
     reporting: BTreeSet<EntryIncarnation>,
-    /// Until when the use of all of them is known.
+    /// Cluster time up to which the use of all of them is known.
     as_of: Option<Duration>,
     known: u32,
-    /// The first slot that is told.
+    /// The first slot in the update.
     first: Slot,
 }
 
 impl QuotaUpdate {
-    /// From the slot `first` on.
+    /// An update from the slot `first` on.
     fn of(control: &Control, first: Slot) -> Self {
         let Sharers { known, .. } = sharers(control);
         let report_times =
@@ -251,14 +254,14 @@
         Self { reporting: report_times.into_keys().collect(), as_of, known, first }
     }
 
-    /// What an entry box is told. The sums are of now, and not of when the telling began: this box may have told
-    /// of more since, and its own use is taken off them.
+    /// The message for one entry box. The sums are those of now, not of when the update began: the
+    /// entry box may have reported more since, and its own use is subtracted from them.
     fn for_entry(&self, control: &Control, entry: &EntryIncarnation) -> ToEntry {
         let time = control.time();
         let mut ledger = control.usage_ledger.borrow_mut();
         let quotas = ledger.quotas().others(time, self.first, entry);
         let as_of = self.as_of.filter(|_| self.reporting.contains(entry));
-        let heard = self.reporting.len() as u32;
-        ToEntry::OthersUsage { as_of, reporting: heard, known: self.known, quotas }
+        let reporting = self.reporting.len() as u32;
+        ToEntry::OthersUsage { as_of, reporting, known: self.known, quotas }
     }
 }
--- a/crates/vaneway-server/src/core/control/group.rs
+++ b/crates/vaneway-server/src/core/control/group.rs
@@ -1,4 +1,4 @@
-//! The agreement between control boxes, driven: its messages, timers, disk and proposals.
+//! Drives the Raft node: its messages, timers, disk writes and proposals.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,31 +35,32 @@
 use crate::util::clock;
 use crate::util::logline::Line;
 
-/// Bytes of commands after which a snapshot takes their place.
+/// Size of the committed commands in bytes that triggers a snapshot.
 const SNAPSHOT_THRESHOLD_BYTES: usize = 4 << 20;
 
 /// Time between a leader's heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Shortest silence of a leader before another is sought.
+/// Minimum election timeout.
 pub const ELECTION_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Largest difference in speed between two clocks, in parts of a thousand.
+/// Maximum difference in rate between two clocks, in parts per thousand.
 pub const MAX_DRIFT_PER_MILLE: u32 = 10;
 
-/// Longest time between two looks at the agreement's deadline, which can come forward meanwhile.
+/// Maximum interval between two checks of the node's deadline, which may be brought forward
+/// meanwhile.
 const MAX_TIMER_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two looks at the members.
+/// Interval between two checks of the members.
 const MEMBER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time without a leader after which a node asks to join: it may have been taken out.
+/// Time without a leader after which a node requests to join: it may have been removed.
 const JOIN_DELAY: Duration = Duration::from_millis(2_500);
 
-/// How long a request to join counts.
+/// How long a request to join is valid.
 const MAX_JOIN_REQUEST_AGE: Duration = Duration::from_secs(2);
 
-/// Applies an event and carries out what it brings.
+/// Handles an event and carries out its actions. Compacts the log if entries were committed.
 pub fn step(control: &Rc<Control>, event: Event) {
     let event =
         if memory::is_disk_behind(control) { memory::strip_writes(event) } else { Some(event) };
@@ -73,7 +74,7 @@
     }
 }
 
-/// Applies an event and carries out what it brings; returns whether entries were committed.
+/// Handles an event and carries out its actions; returns whether entries were committed.
 fn handle(control: &Rc<Control>, event: Event) -> bool {
     let mut actions = Vec::new();
     control.node.borrow_mut().handle(clock::now(), event, &mut actions);
@@ -84,8 +85,7 @@
     committed
 }
 
-/// Puts a snapshot in place of the committed entries once there are many of them, or they are
-/// large.
+/// Replaces the committed entries by a snapshot once there are many of them, or they are large.
 fn compact(control: &Rc<Control>) {
     let index = {
         let node = control.node.borrow();
@@ -103,7 +103,7 @@
     }
 }
 
-/// Takes the state of a leader's snapshot.
+/// Adopts the state of a leader's snapshot.
 fn restore(control: &Rc<Control>, snapshot: &Snapshot) {
     let before = control.machine.borrow().current_configuration().cloned();
     match StateMachine::decode(&snapshot.data) {
@@ -151,7 +151,7 @@
     }
 }
 
-/// Logs that this node does not vote for another one.
+/// Logs that this node refuses its vote to another one.
 fn log_refused_vote(control: &Control, to: NodeId, message: &Message) {
     let (Message::PreVoteReply { granted: false, .. } | Message::VoteReply { granted: false, .. }) =
         message
@@ -204,15 +204,15 @@
     }
 }
 
-/// Queues a write to the disk.
+/// Queues a disk write.
 fn store(control: &Control, write: Write) {
-    control.unwritten.update(|bytes| bytes + write.bytes());
-    if control.persist.unbounded_send(write).is_err() {
+    control.unwritten_bytes.update(|bytes| bytes + write.bytes());
+    if control.write_queue.unbounded_send(write).is_err() {
         log::error!("event=store_task_ended");
     }
 }
 
-/// Reads a command of the log; none, with a log line, if it is in no known form.
+/// Decodes a command of the log; none, with a log line, if its format is unknown.
 fn decode(index: Index, bytes: &[u8]) -> Option<Command> {
     match Command::decode(bytes) {
         Ok(command) => Some(command),
@@ -223,21 +223,22 @@
     }
 }
 
-/// Offers the configuration in force to entry boxes if it is another than the one before.
+/// Offers the committed configuration to entry boxes if it is newer than `before`.
 fn offer_newer_configuration(control: &Control, before: Option<&ConfigurationDocument>) {
     let current = control.machine.borrow().current_configuration().cloned();
-    let version = before.map_or(0, |current| current.configuration.version);
+    let version = before.map_or(0, |before| before.configuration.version);
     let Some(current) = current.filter(|current| current.configuration.version > version) else {
         return;
     };
     Line::new("configuration_agreed").with("version", current.configuration.version).info();
-    let before = before.map(|current| &current.configuration);
+    let before = before.map(|before| &before.configuration);
     control.changes.borrow_mut().record(before, &current.configuration);
     links::publish_configuration(control, current.configuration.version);
 }
 
-/// Applies what was committed before this box started, so that entry boxes that start with it need
-/// not wait for a leader. It may be older than the newest, never anything that was not agreed on.
+/// Applies the entries that were committed before this box started, so that entry boxes that start
+/// at the same time need not wait for a leader. The result may be older than the latest committed
+/// state, but contains only committed entries.
 pub fn replay_committed(machine: &mut StateMachine, entries: &[Entry], committed: Index) {
     for entry in entries.iter().filter(|entry| entry.index <= committed) {
         if let Payload::Command(bytes) = &entry.payload
@@ -254,7 +255,7 @@
     control.leader_since.set(leads.then(clock::now));
 }
 
-/// Lets time pass for the agreement until dropped.
+/// Sends timer events to the node until dropped.
 pub async fn run_timers(control: Rc<Control>) {
     loop {
         let deadline = control.node.borrow().next_deadline();
@@ -264,7 +265,7 @@
     }
 }
 
-/// Keeps the members as they should be, or asks to become one, until dropped.
+/// Adjusts the members as the leader, or requests to join, until dropped.
 pub async fn maintain(control: Rc<Control>) {
     loop {
         control.timers.sleep(MEMBER_CHECK_INTERVAL).await;
@@ -282,10 +283,10 @@
     }
 }
 
-/// Takes in that `node` wants to join, as `from` says. A box that has no part in the agreement may know only
-/// boxes that don't lead.
+/// Records that `node` requests to join, as sent by `from`, and forwards the request to the leader
+/// if the node sent it itself. A box that is not a member may only know boxes that do not lead.
 pub(super) fn record_join_request(control: &Control, from: NodeId, node: NodeId) {
-    control.joining.borrow_mut().insert(node, clock::now());
+    control.join_requests.borrow_mut().insert(node, clock::now());
     let (own, leader) = {
         let node = control.node.borrow();
         (node.id(), node.leader())
@@ -303,10 +304,10 @@
 fn change_members(control: &Rc<Control>) {
     let now = clock::now();
     control
-        .joining
+        .join_requests
         .borrow_mut()
         .retain(|_, requested_at| now - *requested_at < MAX_JOIN_REQUEST_AGE);
-    let joining: Vec<NodeId> = control.joining.borrow().keys().copied().collect();
+    let joining: Vec<NodeId> = control.join_requests.borrow().keys().copied().collect();
     let change = {
         let node = control.node.borrow();
         let members = node.log().members();
@@ -333,15 +334,16 @@
     control.next_proposal_id.get()
 }
 
-/// Proposes a command and waits until it is applied here; none if that is not known by `until`,
-/// in which case it may still be applied later. Not taken while the disk is far behind.
+/// Proposes a command and waits until it is applied here. Returns none if the result is not known
+/// by `until`, in which case the command may still be applied later. Rejected while too much waits
+/// for the disk.
 pub async fn propose(
     control: &Rc<Control>,
     command: &Command,
     until: Instant,
 ) -> Option<ProposalOutcome> {
     if memory::is_disk_behind(control) {
-        Line::new("proposal_refused").with("unwritten", control.unwritten.get()).warn();
+        Line::new("proposal_refused").with("unwritten", control.unwritten_bytes.get()).warn();
         return Some(ProposalOutcome::NotTaken);
     }
     let (tx, rx) = oneshot::channel();
--- a/crates/vaneway-server/src/core/control/links.rs
+++ b/crates/vaneway-server/src/core/control/links.rs
@@ -40,56 +40,60 @@
 /// A connection of an entry box.
 #[derive(Debug)]
 pub struct EntryLink {
-    /// Who it is.
-    pub start: EntryIncarnation,
+    /// Name and boot number of the entry box.
+    pub incarnation: EntryIncarnation,
     pub(super) outgoing: SendQueue,
-    /// What it wants to be told of the others.
+    /// The updates about other entry boxes that it has subscribed to.
     pub(super) subscription: Cell<Wanted>,
-    /// Its number among the entry boxes as it was told last, if it wants to know.
+    /// Its number among the entry boxes as last sent, if it has subscribed to loads.
     pub(super) box_number: Cell<Option<BoxNumber>>,
     /// Version of the configuration that it had when it connected.
     initial_version: Version,
     configuration_delivery: Cell<ConfigurationDelivery>,
 }
 
-/// How an entry box gets configurations.
+/// How an entry box receives configurations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ConfigurationDelivery {
-    /// It has not said yet.
+    /// Not known yet.
     Unknown,
-    /// It is told the version and asks.
+    /// It is sent version numbers and requests the configuration itself.
     Offered,
-    /// It is sent each, since it is of a version of this program that doesn't ask.
+    /// It is sent each configuration, since it runs an older version of this program that makes no
+    /// requests.
     Sent,
 }
 
 impl EntryLink {
-    /// What it is told of the others.
+    /// The updates about other entry boxes that it has subscribed to.
     pub fn subscription(&self) -> Wanted {
         self.subscription.get()
     }
 }
 
-/// Sends a message to every entry box that is connected.
+/// Sends a message to every connected entry box.
 pub(super) fn send_to_entries(control: &Control, message: &ToEntry) {
     let message = EncodedFrame::new(message);
-    for entry in control.entries.borrow().values() {
+    for entry in control.entry_links.borrow().values() {
         entry.outgoing.send_encoded(&message);
     }
 }
 
-/// Sends a message to the entry boxes that this box tells of loads.
+/// Sends a message to the entry boxes that have subscribed to loads at this box.
 pub(super) fn send_to_load_subscribers(control: &Control, message: &ToEntry) {
     let message = EncodedFrame::new(message);
-    for entry in control.entries.borrow().values().filter(|entry| entry.subscription.get().loads) {
+    for entry in
+        control.entry_links.borrow().values().filter(|entry| entry.subscription.get().loads)
+    {
         entry.outgoing.send_encoded(&message);
     }
 }
 
-/// Offers a version of the configuration to the entry boxes that ask for it themselves, and sends it to the others.
+/// Offers a version of the configuration to the entry boxes that request configurations themselves,
+/// and sends the configuration to the others.
 pub(super) fn publish_configuration(control: &Control, version: Version) {
     let offer = EncodedFrame::new(&ToEntry::ConfigurationAgreed { version });
-    for entry in control.entries.borrow().values() {
+    for entry in control.entry_links.borrow().values() {
         match entry.configuration_delivery.get() {
             ConfigurationDelivery::Offered => {
                 entry.outgoing.send_newest(CONFIGURATION_VERSION_TOPIC, &offer);
@@ -100,7 +104,7 @@
     }
 }
 
-/// Sends an entry box the configuration, or how it differs from the version that it has.
+/// Sends an entry box the configuration, or the difference to the version that it has.
 fn send_configuration(control: &Control, entry: &EntryLink, have: Version) {
     let machine = control.machine.borrow();
     let Some(current) =
@@ -112,7 +116,8 @@
     entry.outgoing.send_newest(CONFIGURATION_TOPIC, &answer);
 }
 
-/// Offers the configuration that is agreed on from now on to an entry box, which asks for it.
+/// Offers the committed configuration to an entry box, now and whenever it changes; the entry box
+/// requests it.
 fn offer_configurations(control: &Control, entry: &EntryLink) {
     entry.configuration_delivery.set(ConfigurationDelivery::Offered);
     let version = control.machine.borrow().version();
@@ -130,11 +135,11 @@
     }
 }
 
-/// Who a connection belongs to, once it said so.
+/// The peer of a connection, once it has identified itself.
 #[derive(Debug)]
 enum Sender {
     Unknown,
-    Entry { link: u64, start: EntryIncarnation },
+    Entry { link: u64, incarnation: EntryIncarnation },
     Control { node: NodeId },
 }
 
@@ -142,7 +147,8 @@
     let outgoing = SendQueue::new(&control.buffered);
     let mut sender = Sender::Unknown;
     let on_frame = async |frame: &[u8]| {
-        // Entry boxes are many and can wait; other control boxes can't.
+        // Messages of the many entry boxes can wait for a turn; those of other control boxes
+        // cannot.
         if matches!(sender, Sender::Entry { .. }) {
             control.turns.next().await;
         }
@@ -157,13 +163,13 @@
     };
     let silence = IdleTimeouts { host: HOST_SILENCE_TIMEOUT, process: PROCESS_SILENCE_TIMEOUT };
     let why = frames::drive(&control.timers, &stream, &outgoing, silence, on_frame).await;
-    if let Sender::Entry { link, start } = sender {
-        control.entries.borrow_mut().remove(&link);
-        // It may have connected again before this connection was found to be lost.
-        if !control.entries.borrow().values().any(|link| link.start == start) {
-            control.usage_ledger.borrow_mut().loads().remove(&start);
+    if let Sender::Entry { link, incarnation } = sender {
+        control.entry_links.borrow_mut().remove(&link);
+        // The entry box may have reconnected before this connection was found to be lost.
+        if !control.entry_links.borrow().values().any(|link| link.incarnation == incarnation) {
+            control.usage_ledger.borrow_mut().loads().remove(&incarnation);
         }
-        Line::new("entry_lost").with("entry", start.0).with("why", why).info();
+        Line::new("entry_lost").with("entry", incarnation.0).with("why", why).info();
     }
 }
 
@@ -175,7 +181,7 @@
 ) {
     match message {
         ToControl::Entry(FromEntry::Hello { name, boot, configuration, known }) => {
-            control.reported_entry_count.update(|told| told.max(known));
+            control.reported_entry_count.update(|count| count.max(known));
             *sender = admit_entry(control, outgoing, (name, boot), configuration);
         }
         ToControl::Entry(FromEntry::Ping { sent_us }) => {
@@ -183,7 +189,7 @@
                 && entry.configuration_delivery.get() == ConfigurationDelivery::Unknown
             {
                 entry.configuration_delivery.set(ConfigurationDelivery::Sent);
-                // It can't read how a configuration differs from the one that it has.
+                // This version cannot decode differences between configurations.
                 if control.machine.borrow().version() > entry.initial_version {
                     send_configuration(control, &entry, 0);
                 }
@@ -196,24 +202,24 @@
             dissemination::merge_endpoints(control, &reports, Source::Entry);
         }
         ToControl::Entry(FromEntry::Usage(report)) => {
-            if let Sender::Entry { start, .. } = sender {
+            if let Sender::Entry { incarnation, .. } = sender {
                 let now = control.now();
-                control.usage_ledger.borrow_mut().merge(now, start, &report);
+                control.usage_ledger.borrow_mut().merge(now, incarnation, &report);
             }
         }
         ToControl::Entry(FromEntry::Loads(loads)) => {
-            if let Sender::Entry { start, .. } = sender {
-                control.usage_ledger.borrow_mut().loads().update(start, &loads);
+            if let Sender::Entry { incarnation, .. } = sender {
+                control.usage_ledger.borrow_mut().loads().update(incarnation, &loads);
             }
         }
         ToControl::Entry(FromEntry::Parts(parts)) => {
-            control.parts.borrow_mut().record(clock::now(), &parts);
+            control.cached_parts.borrow_mut().record(clock::now(), &parts);
         }
         ToControl::Entry(FromEntry::QuarantineRecords(findings)) => {
             dissemination::merge_quarantine_records(control, &findings, Source::Entry);
         }
-        ToControl::Entry(FromEntry::Limits(told)) => {
-            dissemination::merge_limits(control, &told, Source::Entry);
+        ToControl::Entry(FromEntry::Limits(limits)) => {
+            dissemination::merge_limits(control, &limits, Source::Entry);
         }
         ToControl::Entry(FromEntry::OfferConfigurations) => {
             if let Some(entry) = entry_of(control, sender) {
@@ -226,9 +232,12 @@
             }
         }
         ToControl::Entry(FromEntry::Done) => {
-            if let Sender::Entry { start, .. } = sender {
-                control.usage_ledger.borrow_mut().mark_done(start);
-                Line::new("entry_done").with("entry", &start.0).with("boot", start.1).info();
+            if let Sender::Entry { incarnation, .. } = sender {
+                control.usage_ledger.borrow_mut().mark_done(incarnation);
+                Line::new("entry_done")
+                    .with("entry", &incarnation.0)
+                    .with("boot", incarnation.1)
+                    .info();
             }
         }
         ToControl::Entry(FromEntry::Subscribe(subscription)) => {
@@ -242,22 +251,23 @@
     }
 }
 
-/// The connection of an entry box that sent something.
+/// The connection of the entry box that sent a message.
 fn entry_of(control: &Control, sender: &Sender) -> Option<Rc<EntryLink>> {
     let Sender::Entry { link, .. } = sender else { return None };
-    control.entries.borrow().get(link).cloned()
+    control.entry_links.borrow().get(link).cloned()
 }
 
-/// Takes an entry box in and tells it all that it must know; it has the version `initial_version` of the configuration.
+/// Registers an entry box and sends it the state that it needs; `initial_version` is the version of
+/// the configuration that it has.
 fn admit_entry(
     control: &Control,
     outgoing: &SendQueue,
-    start: EntryIncarnation,
+    incarnation: EntryIncarnation,
     initial_version: Version,
 ) -> Sender {
     control.next_link.update(|link| link + 1);
     let link = control.next_link.get();
-    Line::new("entry_connected").with("entry", &start.0).with("boot", start.1).info();
+    Line::new("entry_connected").with("entry", &incarnation.0).with("boot", incarnation.1).info();
     let availability_zone = control.settings.availability_zone.clone();
     outgoing.send(&ToEntry::Hello { availability_zone });
     outgoing.send(&ToEntry::ControlBoxes(control_boxes(control)));
@@ -269,19 +279,19 @@
     }
     let subscription = Cell::default();
     let entry = EntryLink {
-        start: start.clone(),
+        incarnation: incarnation.clone(),
         outgoing: outgoing.clone(),
         subscription,
         box_number: Cell::default(),
         initial_version,
         configuration_delivery: Cell::new(ConfigurationDelivery::Unknown),
     };
-    control.entries.borrow_mut().insert(link, Rc::new(entry));
-    Sender::Entry { link, start }
+    control.entry_links.borrow_mut().insert(link, Rc::new(entry));
+    Sender::Entry { link, incarnation }
 }
 
-/// The control boxes that take part, by their addresses for other boxes; none while this box
-/// doesn't know.
+/// Addresses at which the members accept connections of other boxes; empty while this box does not
+/// know the members.
 pub(super) fn control_boxes(control: &Control) -> Vec<SocketAddr> {
     let node = control.node.borrow();
     let members = node.log().members();
@@ -297,7 +307,7 @@
 ) {
     if let BetweenControl::Hello { node } = message {
         *sender = Sender::Control { node };
-        // What the peer missed while there was no connection.
+        // The peer may have missed updates while there was no connection.
         for message in dissemination::full_state(control) {
             outgoing.send(&message);
         }
@@ -313,8 +323,8 @@
             let now = clock::now();
             let mut clock = control.clock.borrow_mut();
             clock.record_peer_time(now, node, Duration::from_micros(time_us));
-            if let Some(kept) = kept_us {
-                clock.record_peer_cluster_time(now, node, Duration::from_micros(kept));
+            if let Some(established) = kept_us {
+                clock.record_peer_cluster_time(now, node, Duration::from_micros(established));
             }
             drop(clock);
             outgoing.send(&peers::ping(control));
--- a/crates/vaneway-server/src/core/control/machine.rs
+++ b/crates/vaneway-server/src/core/control/machine.rs
@@ -1,6 +1,6 @@
-//! The commands that control boxes agree on, and the state that they make, without I/O.
+//! The replicated commands, and the state machine that they are applied to, without I/O.
 //!
-//! Every control box applies the same commands in the same order, so what a command does may
+//! Every control box applies the same commands in the same order, so the effect of a command may
 //! depend on nothing else.
 
 use std::collections::BTreeMap;
@@ -13,35 +13,34 @@
 use crate::core::configuration::Configuration;
 use crate::core::usage::Counts;
 
-/// Usage reports that are remembered: more than a new leader has to send again.
+/// Number of usage reports that are kept: more than a new leader has to send again.
 const RETAINED_REPORTS: usize = 32;
 
-/// A command.
+/// A replicated command.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Puts a configuration in force unless it is not above the one in force.
+    /// Puts a configuration in force if its version is higher than that of the one in force.
     Configure(ConfigurationDocument),
-    /// Fixes what will be reported of a window, unless it was fixed before.
+    /// Fixes the counts that will be reported for a window, unless they are fixed already.
     FixUsage {
-        /// The window.
+        /// The accounting window.
         window: Window,
-        /// Its requests.
+        /// The requests of each organisation.
         counts: Counts,
     },
 }
 
-/// A configuration with the document that it was read from.
+/// A configuration with the document that it was parsed from.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationDocument {
-    /// The configuration.
+    /// The parsed configuration.
     pub configuration: Configuration,
-    /// The document, given back to whoever asks for the configuration in the form in which it
-    /// came.
+    /// The source document, which is returned to operators in its original form.
     pub document: String,
 }
 
 impl Command {
-    /// The command's bytes.
+    /// Encodes the command.
     ///
     /// # Panics
     ///
@@ -50,35 +49,35 @@
         postcard::to_stdvec(self).expect("commands can be encoded")
     }
 
-    /// Reads a command.
+    /// Decodes a command.
     ///
     /// # Errors
     ///
-    /// If the bytes are no command, for example one of a later version of this program.
+    /// The bytes are not a valid command, for example one of a later version of this program.
     pub fn decode(bytes: &[u8]) -> postcard::Result<Self> {
         postcard::from_bytes(bytes)
     }
 }
 
-/// What a command changed.
+/// The effect of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing.
+    /// No change.
     Unchanged,
-    /// Another configuration is in force.
+    /// A new configuration is in force.
     Configured,
-    /// The report of this window is fixed.
+    /// The counts of this window are fixed.
     UsageFixed(Window),
 }
 
-/// The state that the commands make.
+/// The replicated state.
 #[derive(Debug, Clone, Default)]
 pub struct StateMachine {
     configuration: Option<Rc<ConfigurationDocument>>,
     usage: BTreeMap<Window, Counts>,
 }
 
-/// The state as a snapshot holds it.
+/// The state as encoded in a snapshot.
 #[derive(Debug, Serialize, Deserialize)]
 struct SnapshotState<H> {
     configuration: Option<H>,
@@ -109,7 +108,7 @@
         }
     }
 
-    /// The state's bytes, for a snapshot.
+    /// Encodes the state for a snapshot.
     ///
     /// # Panics
     ///
@@ -122,11 +121,11 @@
         postcard::to_stdvec(&state).expect("the state can be encoded")
     }
 
-    /// Reads the state of a snapshot.
+    /// Decodes the state of a snapshot.
     ///
     /// # Errors
     ///
-    /// If the bytes are no state, for example one of a later version of this program.
+    /// The bytes are not a valid state, for example one of a later version of this program.
     pub fn decode(bytes: &[u8]) -> postcard::Result<Self> {
         let state: SnapshotState<ConfigurationDocument> = postcard::from_bytes(bytes)?;
         Ok(Self { configuration: state.configuration.map(Rc::new), usage: state.usage })
@@ -142,7 +141,7 @@
         self.configuration.as_ref().map_or(0, |current| current.configuration.version)
     }
 
-    /// Reports that are fixed.
+    /// The fixed counts by window.
     pub fn usage(&self) -> &BTreeMap<Window, Counts> {
         &self.usage
     }
--- a/crates/vaneway-server/src/core/control/membership.rs
+++ b/crates/vaneway-server/src/core/control/membership.rs
@@ -1,50 +1,51 @@
-//! Who should take part in the agreement, without I/O.
+//! Determines which control boxes should be members of the Raft group, without I/O.
 //!
-//! Why it is decided here and not by operators: a control box that lost its disk comes back under
-//! a new node id and has to vote again soon, since the next box may be lost right after; one that
-//! is replaced comes up at another address. The leader makes one change at a time, in this order:
-//! let newcomers learn, let learners that have caught up vote, take out voters that are surely
-//! gone.
+//! This is automatic and not left to operators: a control box that lost its disk returns under a
+//! new node id and must vote again soon, since another box may fail right after; one that is
+//! replaced returns at another address. The leader makes one change at a time, in this order: add
+//! new nodes as learners, promote learners that have caught up, remove voters that are gone.
 //!
-//! A voter is surely gone once another member runs at its address: the box's disk is empty, so it
-//! can never be that node again. One that is only silent is taken out when that makes the group
-//! safer: enough others are there, and it has been replaced (an even number of voters bears no
-//! more losses than one fewer) or is silent for long. If it comes back, it joins again.
+//! A voter is certainly gone once another voter runs at its address: the disk of that box was lost,
+//! so it can never be the old node again. A voter that merely does not respond is removed if that
+//! makes the group safer: enough others respond, and it has been replaced (an even number of voters
+//! tolerates no more failures than one fewer) or has not responded for long. If it returns, it
+//! joins again.
 
 use std::time::Duration;
 
 use vaneway_agreement::MemberChange;
 use vaneway_agreement::NodeId;
 
-/// Silence after which a voter that was replaced is taken out.
+/// Time without a response after which a voter that was replaced is removed.
 const REPLACED_VOTER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Silence after which a voter is taken out if the others are enough.
+/// Time without a response after which a voter is removed if enough others respond.
 const VOTER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Silence after which a learner is taken out.
+/// Time without a response after which a learner is removed.
 const LEARNER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Voters that must be there besides one that is taken out: they bear the loss of one more.
+/// Minimum number of responding voters besides one that is removed: they tolerate the failure of
+/// one more.
 const MIN_LIVE_VOTERS: usize = 3;
 
-/// What the leader knows of a member.
+/// The leader's view of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// Its node.
+    /// Its node id.
     pub node: NodeId,
     /// Whether it votes.
     pub voter: bool,
-    /// Whether it has everything that is committed.
+    /// Whether it has all committed entries.
     pub caught_up: bool,
     /// Time since it last answered.
     pub unresponsive_for: Duration,
 }
 
-/// Time for which a member that answers regularly may be silent.
+/// Maximum time since the last answer of a member that counts as responding.
 const MAX_REPLY_AGE: Duration = Duration::from_millis(1_200);
 
-/// The next change that the leader should make, if any.
+/// The next membership change that the leader should make, if any.
 pub fn next_change(
     leader: NodeId,
     members: &[MemberStatus],
@@ -83,7 +84,7 @@
     live >= MIN_LIVE_VOTERS && (replaced || member.unresponsive_for > VOTER_TIMEOUT)
 }
 
-/// Part of a node id that holds the box's address; see [`super::state::node_id`].
+/// The part of a node id that holds the box's address; see [`super::state::node_id`].
 fn address_bits(node: NodeId) -> u64 {
     node >> u32::BITS
 }
--- a/crates/vaneway-server/src/core/control/memory.rs
+++ b/crates/vaneway-server/src/core/control/memory.rs
@@ -1,9 +1,9 @@
-//! How much a control box holds of what waits: for entry boxes, for other control boxes, for the disk, or for the rest of a
-//! message to arrive.
+//! Memory held by data that waits: for entry boxes, for other control boxes, for the disk, or for
+//! the rest of a message.
 //!
-//! These are what grows when others are slower than this box; all else grows with the deployment. What waits for one box has a
-//! bound ([`send_queue`](crate::util::send_queue)); while the disk is behind nothing is added to what it must write
-//! ([`strip_writes`]).
+//! These queues grow when the receivers are slower than this box; all other memory grows with the
+//! deployment only. The queue for one box is bounded (see [`send_queue`](crate::util::send_queue));
+//! while the disk is too far behind, no more writes are queued ([`strip_writes`]).
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,22 +15,23 @@
 use crate::core::control::store;
 use crate::util::logline::Line;
 
-/// Time between two looks at what waits.
+/// Interval between two checks of the waiting data.
 const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Bytes from which on what waits is logged.
+/// Size of the waiting data in bytes from which it is logged.
 const LOG_THRESHOLD_BYTES: usize = 16 << 20;
 
-/// Bytes that wait for the disk up to which more is written.
+/// Maximum size of the queued disk writes in bytes.
 const MAX_UNWRITTEN_BYTES: usize = 32 << 20;
 
-/// Whether the disk is so far behind that nothing may be added to what it must write.
+/// Whether the disk is so far behind that no more writes may be queued.
 pub(super) fn is_disk_behind(control: &Control) -> bool {
-    control.unwritten.get() > MAX_UNWRITTEN_BYTES
+    control.unwritten_bytes.get() > MAX_UNWRITTEN_BYTES
 }
 
-/// What is left of an event if nothing may be written: entries count as lost on the way, and are sent again; the sign of
-/// life that comes with them counts. None if nothing is left.
+/// What remains of an event when nothing may be written. Entries are treated as lost in transit,
+/// and the leader sends them again; the heartbeat that carries them still counts. None if nothing
+/// remains.
 pub fn strip_writes(event: Event) -> Option<Event> {
     match event {
         Event::Message { from, message: Message::Append(mut append) } => {
@@ -42,30 +43,30 @@
     }
 }
 
-/// Bytes that a control box holds, by what they wait for.
+/// Waiting data in bytes, by what it waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct WaitingBytes {
-    /// For entry boxes to take them.
+    /// To be sent to entry boxes.
     entries: usize,
-    /// For other control boxes to take them.
+    /// To be sent to other control boxes.
     peers: usize,
-    /// For the rest of their message to arrive.
+    /// Received parts of incomplete messages.
     arriving: usize,
-    /// For the disk.
+    /// To be written to disk.
     unwritten: usize,
-    /// For a snapshot to take the place of the agreement's entries.
+    /// Commands in the Raft log that no snapshot covers yet.
     log: usize,
 }
 
 impl WaitingBytes {
     fn of(control: &Control) -> Self {
-        let entries = control.entries.borrow();
+        let entries = control.entry_links.borrow();
         let entries = entries.values().map(|link| link.outgoing.queued_bytes()).sum();
         Self {
             entries,
             peers: control.buffered.queued() - entries,
             arriving: control.buffered.partial(),
-            unwritten: control.unwritten.get(),
+            unwritten: control.unwritten_bytes.get(),
             log: store::command_bytes(control.node.borrow().log().entries()),
         }
     }
@@ -76,7 +77,7 @@
     }
 }
 
-/// Logs what waits and what was passed on while it is much, until dropped.
+/// Logs large amounts of waiting data and of forwarded updates, until dropped.
 pub async fn watch(control: Rc<Control>) {
     loop {
         control.timers.sleep(WATCH_INTERVAL).await;
@@ -91,7 +92,7 @@
             .with("arriving", waiting.arriving)
             .with("unwritten", waiting.unwritten)
             .with("log", waiting.log)
-            .with("links", control.entries.borrow().len())
+            .with("links", control.entry_links.borrow().len())
             .warn();
     }
 }
--- a/crates/vaneway-server/src/core/control/mod.rs
+++ b/crates/vaneway-server/src/core/control/mod.rs
@@ -1,22 +1,22 @@
-//! What a control box runs: the agreement with the other control boxes, the configuration, the
-//! endpoints' registrations, and the duties of the one that leads.
+//! The control box: its Raft group with the other control boxes, the configuration, the endpoint
+//! registrations, and the duties of the leader.
 //!
-//! - [`machine`]: the commands that are agreed on and the state that they make, without I/O;
-//! - [`store`]: the agreement's file;
-//! - [`group`]: the agreement, driven;
-//! - [`memory`]: bytes that wait, by what they wait for;
-//! - [`changes`]: the latest changes of the configuration;
-//! - [`membership`]: who should take part in it, without I/O;
-//! - [`links`]: connections that entry boxes and other control boxes open to it;
-//! - [`peers`]: connections that it opens to other control boxes;
-//! - [`dissemination`]: what it passes on of what it hears of endpoints;
-//! - [`entry_updates`]: what entry boxes are told of each other over them;
-//! - [`duties`]: what the leader does towards the cloud;
+//! - [`machine`]: the replicated commands and the state that they produce, without I/O;
+//! - [`store`]: the file with the persistent Raft state;
+//! - [`group`]: drives the Raft node;
+//! - [`memory`]: memory held by queued data;
+//! - [`changes`]: the latest configuration changes;
+//! - [`membership`]: which control boxes should be members of the Raft group, without I/O;
+//! - [`links`]: connections opened by entry boxes and other control boxes;
+//! - [`peers`]: connections opened to other control boxes;
+//! - [`dissemination`]: forwards what this box learns about endpoints;
+//! - [`entry_updates`]: sends entry boxes updates about each other;
+//! - [`duties`]: the leader's calls to the cloud;
 //! - [`capacity`]: orders of replicas;
-//! - [`remembered`]: what a control box remembers over a loss of power;
-//! - [`clock`]: the cluster's time;
-//! - [`operations`]: what operators and endpoints ask for, whatever protocol they speak;
-//! - [`protocol`]: what they speak, and [`native`], the product's own;
+//! - [`remembered`]: the endpoints and entry boxes known before a power loss;
+//! - [`clock`]: the cluster time;
+//! - [`operations`]: operations for operators and endpoints, independent of the protocol;
+//! - [`protocol`]: the traits of these protocols, and [`native`], the native ones;
 //! - [`running`]: start and stop.
 
 pub mod capacity;
--- a/crates/vaneway-server/src/core/control/operations.rs
+++ b/crates/vaneway-server/src/core/control/operations.rs
@@ -1,4 +1,4 @@
-//! What operators and endpoints ask of a control box, whatever protocol they speak.
+//! Operations of a control box for operators and endpoints, independent of the protocol.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,30 +20,30 @@
 use crate::util::findings::Findings;
 use crate::util::logline::Line;
 
-/// How long an operator's change waits for its commitment: less than operators wait for an
-/// answer.
+/// Maximum wait for the commitment of an operator's change: shorter than operators wait for a
+/// response.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(850);
 
-/// Why an operation was not carried out.
+/// Why an operation was refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
-    /// Another control box leads.
+    /// Another control box is the leader.
     NotLeader {
-        /// Its node.
+        /// Node id of the leader.
         leader: NodeId,
     },
-    /// Nobody can tell now; the change may still come into force.
+    /// No leader is known or reachable in time; the change may still come into force.
     Unavailable,
-    /// The configuration has these faults.
+    /// The configuration is invalid.
     Invalid(Vec<Finding>),
 }
 
-/// Puts a configuration in force everywhere. One that is not above the one in force is accepted
-/// and changes nothing.
+/// Puts a configuration in force at all boxes. A configuration whose version is not higher than
+/// that of the one in force is accepted without effect.
 ///
 /// # Errors
 ///
-/// [`Refusal`] says why not.
+/// A [`Refusal`] with the reason.
 pub async fn configure(
     control: &Rc<Control>,
     proposed: ConfigurationDocument,
@@ -61,19 +61,20 @@
     }
     let until = clock::now() + COMMIT_TIMEOUT;
     let command = Command::Configure(proposed);
-    let proposed = group::propose(control, &command, until).await;
-    Line::new("configure").with("version", version).with("became", format!("{proposed:?}")).info();
-    match proposed {
+    let outcome = group::propose(control, &command, until).await;
+    Line::new("configure").with("version", version).with("became", format!("{outcome:?}")).info();
+    match outcome {
         Some(ProposalOutcome::Committed) => Ok(()),
         Some(ProposalOutcome::NotTaken) | None => Err(Refusal::Unavailable),
     }
 }
 
-/// The configuration that is surely the newest; none if there never was one.
+/// The newest committed configuration, guaranteed by the leader's lease; none if there has never
+/// been one.
 ///
 /// # Errors
 ///
-/// [`Refusal`] if this box can't be sure.
+/// A [`Refusal`] if this box is not the leader or has no valid lease.
 pub fn newest_configuration(
     control: &Control,
 ) -> Result<Option<Rc<ConfigurationDocument>>, Refusal> {
@@ -85,7 +86,7 @@
     Ok(control.machine.borrow().current_configuration().cloned())
 }
 
-/// Logs why an operator's call was refused, where the reason is not in what was sent.
+/// Logs why an operator's call was refused for a reason other than its content.
 fn log_refused(control: &Control, call: &str, why: &str) {
     let node = control.node.borrow();
     Line::new("configuration_call_refused")
@@ -113,7 +114,7 @@
     }
 }
 
-/// Takes in what an endpoint says of itself.
+/// Applies an endpoint's report about itself.
 pub fn record_endpoint_report(control: &Control, report: &Report) {
     dissemination::merge_endpoints(control, std::slice::from_ref(report), Source::Endpoint);
 }
--- a/crates/vaneway-server/src/core/control/peers.rs
+++ b/crates/vaneway-server/src/core/control/peers.rs
@@ -1,7 +1,8 @@
-//! The connections that a control box opens to other control boxes, and what it tells them.
+//! Connections that a control box opens to other control boxes, and the messages that it sends
+//! them.
 //!
-//! What comes over them is never made to wait for a turn: the agreement lives by it. This is also where a
-//! control box measures, by its signs of life, whether it has more to do than time.
+//! Incoming messages on these connections never wait for a turn, since consensus depends on them.
+//! This module also detects overload, by how late the loop sends its keep-alives.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -34,17 +35,18 @@
 use crate::util::send_queue::Topic;
 use crate::util::socket::SocketStream;
 
-/// Time between two looks at which control boxes to be connected with.
+/// Interval between two checks of which control boxes to be connected to.
 const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time between two reports to other control boxes of endpoints that are merely still there.
+/// Interval at which other control boxes are sent heartbeats of endpoints whose state has not
+/// changed.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A connection to another control box, opened again whenever it breaks.
+/// A connection to another control box, which is reopened whenever it fails.
 #[derive(Debug, Default)]
 pub struct PeerLink {
     outgoing: RefCell<Option<SendQueue>>,
-    /// Endpoints of which the peer has to hear again.
+    /// Endpoints whose latest heartbeat the peer must still receive.
     pub(super) refreshed: RefCell<BTreeSet<InstanceId>>,
 }
 
@@ -57,8 +59,8 @@
     }
 }
 
-/// The topic of a message, if newer ones take its place while it waits. To the agreement that is a
-/// message lost on the way, for which it is made.
+/// The topic of a message that newer ones replace while it is queued. To Raft, a replaced message
+/// is a lost one, which it tolerates.
 fn topic(message: &BetweenControl) -> Option<Topic> {
     let BetweenControl::Agreement { message, .. } = message else { return None };
     match message {
@@ -72,7 +74,7 @@
     }
 }
 
-/// Sends a message to every control box that is known.
+/// Sends a message to all known control boxes.
 pub fn send_to_all(control: &Control, message: BetweenControl) {
     let message = EncodedFrame::new(&ToControl::Control(message));
     for peer in control.peers.borrow().values() {
@@ -108,7 +110,8 @@
     loop {
         let mut wanted: BTreeSet<SocketAddr> = control.settings.seeds.iter().copied().collect();
         wanted.extend(links::control_boxes(&control));
-        // A box that has just been let in knows no members yet; to get them it has to answer who leads.
+        // A box that has just been added knows no members yet; to receive them it must answer the
+        // leader.
         let leader = control.node.borrow().leader();
         wanted.extend(leader.map(|leader| control.cluster_address(leader)));
         wanted.remove(&own);
@@ -121,7 +124,7 @@
                 compio::runtime::spawn(async move { keep_peer(control, address).await }).detach();
             }
         }
-        // Whoever is left out ends its connection by itself.
+        // The task of a removed peer ends its connection itself.
         control.peers.borrow_mut().retain(|address, _| wanted.contains(address));
         control.timers.sleep(PEER_CHECK_INTERVAL).await;
     }
@@ -156,11 +159,10 @@
     Line::new("peer_lost").with("address", address).with("why", why).info();
 }
 
-/// Lateness of the loop, and of turns, from which on it is logged: half of the shortest time in which a leader
-/// must be heard.
+/// Delay of the loop or of a turn from which it is logged: half of the minimum election timeout.
 const BUSY_THRESHOLD: Duration = Duration::from_millis(250);
 
-/// Logs that this box has more to do than time: the loop is `late`, or entry boxes wait long for turns.
+/// Logs overload: the loop is `late`, or entry boxes wait long for turns.
 fn log_if_busy(control: &Control, late: Duration) {
     let turn_waited = control.turns.take_longest_wait();
     if late.max(turn_waited) < BUSY_THRESHOLD {
@@ -170,11 +172,11 @@
         .with("loop_late_ms", late.as_millis())
         .with("turn_waited_ms", turn_waited.as_millis())
         .with("turns_waiting", control.turns.waiting())
-        .with("entries", control.entries.borrow().len())
+        .with("entries", control.entry_links.borrow().len())
         .warn();
 }
 
-/// Gives signs of life to the other control boxes until dropped.
+/// Sends keep-alives to the other control boxes until dropped.
 pub async fn ping_peers(control: Rc<Control>) {
     let mut refreshed_at = clock::now();
     let mut unreadable = 0;
--- a/crates/vaneway-server/src/core/control/protocol.rs
+++ b/crates/vaneway-server/src/core/control/protocol.rs
@@ -1,4 +1,4 @@
-//! What endpoints, operators and the cloud speak with a control box.
+//! Protocols between a control box and endpoints, operators and the cloud.
 
 use std::rc::Rc;
 
@@ -20,17 +20,17 @@
 use crate::core::usage::Counts;
 use crate::util::body::ResponseBody;
 
-/// Largest body of a call: above the largest configuration that operators send.
+/// Maximum body size of a call in bytes: larger than the largest configuration that operators send.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Reads the body of a call; none if it is too long or breaks off.
+/// Reads the body of a call; none if it is too large or truncated.
 pub async fn read_body(body: Incoming) -> Option<Bytes> {
     Limited::new(body, MAX_BODY_BYTES).collect().await.ok().map(Collected::to_bytes)
 }
 
-/// What endpoints and operators speak.
+/// Protocol of endpoints and operators.
 pub trait ControlProtocol: 'static {
-    /// Answers one request.
+    /// Handles one request.
     fn serve(
         &self,
         control: Rc<Control>,
@@ -38,25 +38,26 @@
     ) -> impl Future<Output = Response<ResponseBody>>;
 }
 
-/// In whose name the cloud is called: one box at a time, under a number that rises with each
-/// change, so that the cloud can tell a box that has lost the duty.
+/// Identity under which the cloud is called. Only one box at a time holds it, with a fencing number
+/// that rises with each change, so that the cloud can reject calls of a previous holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holder {
-    /// Name of the box.
+    /// Name of the control box.
     pub name: String,
-    /// Rises whenever another box takes over.
+    /// Fencing number; rises whenever another box takes over.
     pub fence: u64,
 }
 
-/// What the cloud speaks.
+/// Protocol of the cloud.
 pub trait CloudProtocol: 'static {
-    /// A report of the requests of each organisation in a window.
+    /// Builds a report of the requests of each organisation in a window.
     fn usage_report(&self, holder: &Holder, window: Window, counts: &Counts) -> EndpointRequest;
 
-    /// An order of replicas of a service.
+    /// Builds an order of replicas of a service.
     fn capacity_order(&self, holder: &Holder, service: &str, order: &Order) -> EndpointRequest;
 
-    /// What an answer to an order means: a conflict is a refusal, unless the cloud speaks otherwise.
+    /// Interprets the response to an order: a conflict is a refusal, unless the cloud's protocol
+    /// defines another one.
     fn order_answer(&self, status: StatusCode) -> Answer {
         match status {
             StatusCode::CONFLICT => Answer::Refused,
--- a/crates/vaneway-server/src/core/control/remembered.rs
+++ b/crates/vaneway-server/src/core/control/remembered.rs
@@ -1,17 +1,17 @@
-//! What a control box remembers over a loss of power: the endpoints, and how many entry boxes there were.
+//! The endpoints, and the number of entry boxes, that a control box remembers across a power loss.
 //!
-//! Why: after all boxes went down together, endpoints become known again only with their next
-//! heartbeats, over a second or more in which every request is refused though the endpoints are
-//! well. So each control box keeps a file of the endpoints that were ready, and tells it to entry
-//! boxes that start together with it. A request names the instance that it is meant for, so one
-//! that went to an address that another endpoint has now is not run.
+//! After all boxes went down together, endpoints only become known again with their next
+//! heartbeats, in a second or more in which every request would be refused although the endpoints
+//! are running. So each control box keeps a file of the endpoints that were ready, and sends them
+//! to entry boxes that start at the same time. A request names the instance that it is meant for,
+//! so it is not run by another endpoint that now has the same address.
 //!
-//! What is remembered may be out of date: an endpoint may have said that it drains, and everyone
-//! who heard it may be down. It therefore counts only until heartbeats must have come again
-//! (the setting `remembered_ms`), and nothing waits for the file to be written.
+//! The remembered endpoints may be out of date: an endpoint may have announced that it drains, and
+//! all boxes that received this may be down. They are therefore valid only until heartbeats must
+//! have arrived again (the setting `remembered_ms`), and nothing waits until the file is written.
 //!
-//! Each entry box's part of the retries goes by how many there may be, also while most of them still have to
-//! connect: the first ones must not take the others' parts.
+//! Each entry box's share of the retry budget depends on how many entry boxes may be running, also
+//! while most of them have yet to connect: the first ones must not take the others' shares.
 
 use std::io;
 use std::path::PathBuf;
@@ -30,40 +30,41 @@
 use crate::util::durable_file;
 use crate::util::logline::Line;
 
-/// The file's name under the data folder.
+/// Name of the file in the data folder.
 const FILE_NAME: &str = "endpoints.log";
 
-/// Time between two looks whether the file must be written anew.
+/// Interval between two checks whether the file must be rewritten.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Pause after a write that failed.
+/// Delay before another attempt after a write has failed.
 const RETRY_DELAY: Duration = Duration::from_secs(3);
 
-/// Age from which on the file says nothing of the present. It is measured by the box's time of
-/// day, which may be wrong by seconds.
+/// Age from which the file is ignored. It is measured by the box's time of day, which may be wrong
+/// by seconds.
 const MAX_FILE_AGE: Duration = Duration::from_mins(1);
 
-/// The file's only record.
+/// The only record of the file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct Record {
     /// When it was written, since 1970.
     written: Duration,
     /// The endpoints that were ready.
     endpoints: Vec<Report>,
-    /// Entry boxes that there were.
+    /// Number of entry boxes that may have been running.
     entries: u32,
 }
 
-/// What the file says.
+/// Content of the file.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Remembered {
     /// The endpoints that were ready.
     pub(super) endpoints: Vec<Report>,
-    /// Entry boxes that there were.
+    /// Number of entry boxes that may have been running.
     pub(super) entries: u32,
 }
 
-/// What the file says; nothing if there is none, or it is damaged or old, which is logged.
+/// Reads the file; the result is empty if there is none, or if it is damaged or old, which is
+/// logged.
 pub(super) fn load(control: &Control) -> Remembered {
     match read(control) {
         Ok(remembered) => remembered,
@@ -80,32 +81,32 @@
 
 fn read(control: &Control) -> Result<Remembered, String> {
     let bytes = durable_file::read(&path(control));
-    let bytes = bytes.map_err(|error| format!("the file can't be read: {error}"))?;
+    let bytes = bytes.map_err(|error| format!("failed to read the file: {error}"))?;
     let Some(bytes) = bytes else { return Ok(Remembered::default()) };
     let recovered = vaneway_log::recover(&bytes).map_err(|error| error.to_string())?;
-    let record = recovered.records.first().ok_or("the file has no whole record")?;
+    let record = recovered.records.first().ok_or("the file has no complete record")?;
     let record: Record = postcard::from_bytes(record).map_err(|error| error.to_string())?;
     let age = clock::since_epoch().abs_diff(record.written);
     if age > MAX_FILE_AGE {
-        return Err(format!("the file was written {} s ago", age.as_secs()));
+        return Err(format!("the file is too old: it was written {} s ago", age.as_secs()));
     }
     Ok(Remembered { endpoints: record.endpoints, entries: record.entries })
 }
 
-/// How long remembered endpoints still count; none if they do no more.
+/// How long the remembered endpoints are still valid; none if they are no longer.
 pub(super) fn remaining(control: &Control) -> Option<Duration> {
     let remaining =
         control.settings.restored_retention.checked_sub(clock::elapsed(control.started));
     remaining.filter(|remaining| !remaining.is_zero())
 }
 
-/// Writes the endpoints that are ready whenever they have changed, until dropped.
+/// Writes the ready endpoints whenever they have changed, until dropped.
 pub(super) async fn write_changes(control: Rc<Control>) {
     let mut written = None;
     loop {
         control.timers.sleep(CHECK_INTERVAL).await;
         if remaining(&control).is_some() {
-            // What was there before is worth more than what has been heard of until now.
+            // The remembered endpoints are more complete than those that have reported so far.
             continue;
         }
         let endpoints = ready_endpoints(&control);
@@ -134,7 +135,7 @@
     }
 }
 
-/// The endpoints that are ready, without what changes with every heartbeat.
+/// The ready endpoints, without the fields that change with every heartbeat.
 fn ready_endpoints(control: &Control) -> Vec<Report> {
     let mut endpoints = control.registry.borrow().reports(clock::now());
     endpoints.retain(|report| report.lifecycle == Lifecycle::Ready && report.details.is_some());
--- a/crates/vaneway-server/src/core/control/running.rs
+++ b/crates/vaneway-server/src/core/control/running.rs
@@ -1,4 +1,4 @@
-//! A control box as a running whole: how its parts start and how they stop.
+//! Start and stop of a control box.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -52,7 +52,7 @@
 use crate::util::timers::Timers;
 use crate::util::turns::Turns;
 
-/// Largest head of a call.
+/// Maximum size of the head of a call in bytes.
 const MAX_HEADER_BYTES: usize = 16 << 10;
 
 /// How long a planned stop lets calls finish.
@@ -63,7 +63,7 @@
 pub struct RunningControl {
     control: Rc<Control>,
     servers: Vec<HttpServer>,
-    /// Dropped to end what runs in the background.
+    /// Senders whose drop ends the background tasks.
     background: Vec<oneshot::Sender<()>>,
 }
 
@@ -82,11 +82,11 @@
     }
 }
 
-/// Starts a control box on the current loop.
+/// Starts a control box on the current event loop.
 ///
 /// # Errors
 ///
-/// If one of its addresses can't be bound, or its disk can't be read or written.
+/// One of its addresses cannot be bound, or its disk cannot be read or written.
 pub async fn spawn<P: ControlProtocol, C: CloudProtocol>(
     settings: ControlSettings,
     protocol: P,
@@ -106,22 +106,22 @@
     };
     let mut machine = match &stored.durable.snapshot {
         Some(snapshot) => {
-            StateMachine::decode(&snapshot.data).wrap_err("the snapshot can't be read")?
+            StateMachine::decode(&snapshot.data).wrap_err("failed to decode the snapshot")?
         }
         None => StateMachine::default(),
     };
     group::replay_committed(&mut machine, &stored.durable.entries, stored.committed);
-    // Bounded in bytes where it is filled: nothing is added while the disk is far behind.
-    let (persist, queue) = mpsc::unbounded();
-    let agreement = Node::start(config, stored.durable, clock::now());
-    let control = Rc::new(state(settings, timers.clone(), persist, agreement, machine));
+    // The sender bounds the queued bytes: nothing is queued while the disk is too far behind.
+    let (write_queue, queue) = mpsc::unbounded();
+    let raft_node = Node::start(config, stored.durable, clock::now());
+    let control = Rc::new(state(settings, timers.clone(), write_queue, raft_node, machine));
     let Remembered { endpoints, entries } = remembered::load(&control);
     control.remembered.replace(endpoints);
     control.reported_entry_count.set(entries);
     let persisted = Rc::clone(&control);
     let durable = move |number| group::step(&persisted, Event::Persisted { number });
-    let theirs = Rc::clone(&control);
-    let written = move |bytes| theirs.unwritten.update(|unwritten| unwritten - bytes);
+    let counted = Rc::clone(&control);
+    let written = move |bytes| counted.unwritten_bytes.update(|unwritten| unwritten - bytes);
     let writing = store.write_forever(timers.clone(), queue, durable, written);
     compio::runtime::spawn(writing).detach();
     let listen = control.settings.cluster_listen;
@@ -162,11 +162,11 @@
     Ok(RunningControl { control, servers, background })
 }
 
-/// The state of a box that has just started, with what its disk says of the agreement.
+/// The state of a box that has just started, with the Raft state from its disk.
 fn state(
     settings: ControlSettings,
     timers: Timers,
-    persist: mpsc::UnboundedSender<Write>,
+    write_queue: mpsc::UnboundedSender<Write>,
     node: Node,
     machine: StateMachine,
 ) -> Control {
@@ -176,8 +176,8 @@
         timers,
         turns: Turns::spawn(),
         started: now,
-        persist,
-        unwritten: Cell::new(0),
+        write_queue,
+        unwritten_bytes: Cell::new(0),
         machine: RefCell::new(machine),
         changes: RefCell::default(),
         unlogged_proposals: RefCell::default(),
@@ -185,17 +185,17 @@
         next_proposal_id: Cell::new(0),
         registry: RefCell::default(),
         buffered: Rc::default(),
-        entries: RefCell::default(),
+        entry_links: RefCell::default(),
         entries_last_seen: RefCell::default(),
         reported_entry_count: Cell::new(0),
         next_link: Cell::new(0),
         peers: RefCell::default(),
-        joining: RefCell::default(),
+        join_requests: RefCell::default(),
         last_leader_at: Cell::new(now),
         leader_since: Cell::new(None),
         remembered: RefCell::default(),
         usage_ledger: RefCell::default(),
-        parts: RefCell::default(),
+        cached_parts: RefCell::default(),
         quarantine: RefCell::default(),
         limits: RefCell::default(),
         limits_for_peers: RefCell::default(),
@@ -208,7 +208,8 @@
     }
 }
 
-/// Who a box with an empty disk is: one of the first group, or a newcomer that joins.
+/// Node id and first members of a box with an empty disk: one of the initial group, or a new node
+/// that joins.
 fn identity(settings: &ControlSettings, boot: u64) -> (NodeId, Members) {
     let own = ipv4(settings.cluster_listen);
     let seeds = settings.seeds.iter().map(|seed| ipv4(*seed));
@@ -216,12 +217,12 @@
         let members = Members::with_voters(seeds.map(|seed| node_id(seed, FIRST_INCARNATION)));
         return (node_id(own, FIRST_INCARNATION), members);
     }
-    // Any number that no earlier disk of this box had; the first ones are taken.
+    // A number that no earlier disk of this box had; the low ones are used by the initial group.
     let incarnation = (boot as u32).max(FIRST_INCARNATION + 1);
     (node_id(own, incarnation), Members::default())
 }
 
-/// The settings allow only IPv4 here.
+/// The address as IPv4, the only kind that the settings allow here.
 fn ipv4(address: SocketAddr) -> Ipv4Addr {
     match address.ip() {
         IpAddr::V4(address) => address,
@@ -235,12 +236,12 @@
         &self.control
     }
 
-    /// Where endpoints and operators connect.
+    /// The address at which endpoints and operators connect.
     pub fn listen(&self) -> SocketAddr {
         self.servers[0].address()
     }
 
-    /// Stops as planned: acts for the deployment no more, lets calls finish, then ends.
+    /// Performs a planned stop: stops acting for the deployment, lets calls finish, then ends.
     pub async fn stop(self) {
         let Self { control, servers, background } = self;
         control.stopping.set(true);
--- a/crates/vaneway-server/src/core/control/state.rs
+++ b/crates/vaneway-server/src/core/control/state.rs
@@ -1,4 +1,4 @@
-//! The state that all tasks of a control box share.
+//! The state shared by all tasks of a control box.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -47,15 +47,16 @@
 use crate::util::timers::Timers;
 use crate::util::turns::Turns;
 
-/// Incarnation of the nodes that form a group at the first start.
+/// Incarnation of the nodes that form the initial group.
 pub const FIRST_INCARNATION: u32 = 1;
 
-/// Time after a start in which a control box has heard the cluster's time from others, if there are any:
+/// Time after a start in which a control box receives the cluster time if other boxes have it:
 /// longer than its first connections take to open.
 const PEER_TIME_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The id of a node: its box's address and the incarnation of its disk. So a node can be found
-/// by its id alone, and a box whose disk was lost comes back as another node.
+/// The id of a node, which consists of its box's address and the incarnation of its disk. So a
+/// node's address is known from its id alone, and a box whose disk was lost returns as another
+/// node.
 pub fn node_id(address: Ipv4Addr, incarnation: u32) -> NodeId {
     (u64::from(u32::from(address)) << u32::BITS) | u64::from(incarnation)
 }
@@ -65,108 +66,111 @@
     Ipv4Addr::from((node >> u32::BITS) as u32)
 }
 
-/// What became of a proposal.
+/// Result of a proposal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// It is committed and applied.
+    /// The entry is committed and applied.
     Committed,
-    /// It is in no log, or another entry took its place.
+    /// The entry is in no log, or was replaced by another one.
     NotTaken,
 }
 
-/// A proposal that waits for its commitment.
+/// A proposal that is in the log and not yet committed.
 #[derive(Debug)]
 pub struct PendingProposal {
     /// The term in which it was proposed.
     pub term: Term,
-    /// Whoever waits for it.
+    /// Receives the result.
     pub tx: oneshot::Sender<ProposalOutcome>,
 }
 
-/// State that all tasks of a control box share.
+/// The state shared by all tasks of a control box.
 #[derive(Debug)]
 pub struct Control {
     /// Settings of the process.
     pub settings: ControlSettings,
     /// The timer service.
     pub timers: Timers,
-    /// Turns for what entry boxes tell and are told, of which there can be more than there is time for.
+    /// Turns for processing and sending messages of entry boxes, which can be more than there is
+    /// processor time for.
     pub turns: Turns,
     /// When this box started.
     pub started: Instant,
-    /// This box's part in the agreement.
+    /// The Raft node of this box.
     pub node: RefCell<Node>,
-    /// The way to the disk.
-    pub(crate) persist: mpsc::UnboundedSender<Write>,
-    /// Bytes of commands and snapshots that wait for the disk.
-    pub(crate) unwritten: Cell<usize>,
-    /// What was agreed on, as far as this box knows.
+    /// Queue of disk writes.
+    pub(crate) write_queue: mpsc::UnboundedSender<Write>,
+    /// Queued disk writes in bytes of commands and snapshots.
+    pub(crate) unwritten_bytes: Cell<usize>,
+    /// The replicated state, as far as this box knows it.
     pub machine: RefCell<StateMachine>,
-    /// How it came to the configuration that is agreed on.
+    /// The latest changes of the committed configuration.
     pub(crate) changes: RefCell<ConfigurationHistory>,
-    /// Proposals that have no place in the log yet.
+    /// Proposals that have no index in the log yet.
     pub(crate) unlogged_proposals: RefCell<BTreeMap<ProposalId, oneshot::Sender<ProposalOutcome>>>,
-    /// Proposals by their place in the log.
+    /// Proposals by their index in the log.
     pub(crate) pending_proposals: RefCell<BTreeMap<Index, PendingProposal>>,
     pub(crate) next_proposal_id: Cell<ProposalId>,
-    /// What endpoints told, here or at other control boxes.
+    /// Reports of endpoints, received here or from other boxes.
     pub registry: RefCell<Registry>,
-    /// What the connections between boxes hold.
+    /// Bytes buffered by the connections between boxes.
     pub(crate) buffered: Rc<BufferedBytes>,
-    /// Connections of entry boxes.
-    pub(crate) entries: RefCell<BTreeMap<u64, Rc<EntryLink>>>,
-    /// When entry boxes were last connected, by name.
+    /// Connections of entry boxes, by their number here.
+    pub(crate) entry_links: RefCell<BTreeMap<u64, Rc<EntryLink>>>,
+    /// When each entry box was last connected, by name.
     pub(crate) entries_last_seen: RefCell<BTreeMap<String, Instant>>,
-    /// Entry boxes that there may be, as this box's disk says or those that connected had last been told.
+    /// Number of entry boxes that may be running, according to this box's disk or to entry boxes
+    /// that connected.
     pub(crate) reported_entry_count: Cell<u32>,
     pub(crate) next_link: Cell<u64>,
-    /// Connections to other control boxes.
+    /// Connections to other control boxes, by address.
     pub(crate) peers: RefCell<BTreeMap<SocketAddr, PeerLink>>,
-    /// Nodes that asked to join, and when last.
-    pub(crate) joining: RefCell<BTreeMap<NodeId, Instant>>,
-    /// When this node last knew of a leader.
+    /// Nodes that requested to join, and when they last did.
+    pub(crate) join_requests: RefCell<BTreeMap<NodeId, Instant>>,
+    /// When this node last knew a leader.
     pub(crate) last_leader_at: Cell<Instant>,
-    /// When this node began to lead.
+    /// Since when this node has been the leader, if it is.
     pub(crate) leader_since: Cell<Option<Instant>>,
-    /// Endpoints that were ready before this box started, as its disk says.
+    /// Endpoints that were ready before this box started, according to its disk.
     pub(crate) remembered: RefCell<Vec<Report>>,
-    /// What the entry boxes told of their requests.
+    /// Usage reported by entry boxes.
     pub usage_ledger: RefCell<UsageLedger>,
-    /// Prompt parts that are kept at endpoints.
-    pub(crate) parts: RefCell<PartLedger>,
-    /// Requests under which endpoints ended, as entry boxes told.
+    /// Prompt parts cached at endpoints.
+    pub(crate) cached_parts: RefCell<PartLedger>,
+    /// Requests under which endpoints crashed, as reported by entry boxes.
     pub(crate) quarantine: RefCell<Quarantine>,
-    /// Limits that endpoints named, as entry boxes told.
+    /// Limits advertised by endpoints, as reported by entry boxes.
     pub(crate) limits: RefCell<EndpointLimits>,
-    /// Endpoints whose limits entry boxes told this box and the other control boxes have to hear.
+    /// Endpoints whose limits entry boxes reported here and that must be forwarded to the other
+    /// control boxes.
     pub(crate) limits_for_peers: RefCell<BTreeSet<InstanceId>>,
-    /// How much news was passed on.
+    /// Number of forwarded updates.
     pub(crate) forwarded: ForwardedCounts,
-    /// The cluster's time.
+    /// The cluster clock.
     pub clock: RefCell<ClusterClock>,
     /// Connections to the cloud.
     pub connections: ConnectionPool,
-    /// Messages that could not be read.
+    /// Number of messages that could not be decoded.
     pub unreadable_messages: Cell<u64>,
     /// Whether the box is stopping.
     pub(crate) stopping: Cell<bool>,
 }
 
 impl Control {
-    /// The cluster's time since 1970.
+    /// The cluster time since 1970.
     pub fn time(&self) -> Duration {
         self.clock.borrow_mut().read(clock::now(), clock::since_epoch())
     }
 
-    /// The cluster's time since 1970 if this box can tell it: it keeps one, or has been up for so long
-    /// that there are no others to learn it from.
+    /// The cluster time since 1970, if this box knows it: it has established one, or has been
+    /// running for so long that there are no others to receive it from.
     pub fn known_time(&self) -> Option<Duration> {
         let time = self.time();
         let established = self.clock.borrow().established_time(clock::now());
         established.or_else(|| (clock::elapsed(self.started) >= PEER_TIME_TIMEOUT).then_some(time))
     }
 
-    /// Where the cluster's time stands.
+    /// The current cluster time with its window and slot.
     pub fn now(&self) -> ClusterNow {
         let time = self.time();
         let length = self.settings.window.as_millis().max(1);
@@ -174,36 +178,36 @@
         ClusterNow { time, window, slot: vaneway_quota::slot(time) }
     }
 
-    /// Where another node's box takes connections of other boxes.
+    /// The address at which another node's box accepts connections of other boxes.
     pub fn cluster_address(&self, node: NodeId) -> SocketAddr {
         let port = self.settings.cluster_listen.port();
         SocketAddr::V4(SocketAddrV4::new(node_address(node), port))
     }
 
-    /// Where another node's box takes calls of endpoints and operators.
+    /// The address at which another node's box accepts calls of endpoints and operators.
     pub fn api_address(&self, node: NodeId) -> SocketAddr {
         let port = self.settings.listen.port();
         SocketAddr::V4(SocketAddrV4::new(node_address(node), port))
     }
 
-    /// Whether this node leads and surely no other does, and it knows all that was committed
-    /// before.
+    /// Whether this node is certainly the only leader and has applied all entries committed before
+    /// its term.
     pub fn has_valid_lease(&self) -> bool {
         let node = self.node.borrow();
         let lease = node.lease_until().is_some_and(|until| clock::now() < until);
         lease && node.log().term_at(node.committed()) == Some(node.term())
     }
 
-    /// In whose name this box calls the cloud now.
+    /// The identity under which this box calls the cloud now.
     pub fn holder(&self) -> Holder {
         Holder { name: self.settings.name.clone(), fence: self.node.borrow().term() }
     }
 
-    fn count_subscribers(&self, told: fn(Wanted) -> bool) -> usize {
-        self.entries.borrow().values().filter(|link| told(link.subscription())).count()
+    fn count_subscribers(&self, selects: fn(Wanted) -> bool) -> usize {
+        self.entry_links.borrow().values().filter(|link| selects(link.subscription())).count()
     }
 
-    /// The whole state as JSON.
+    /// The complete state as JSON.
     pub fn dump(&self) -> Value {
         let node = self.node.borrow();
         let now = clock::now();
@@ -230,7 +234,7 @@
             "members": node.log().members(),
             "configuration": self.machine.borrow().version(),
             "endpoints": endpoints,
-            "entry_boxes": self.entries.borrow().len(),
+            "entry_boxes": self.entry_links.borrow().len(),
             "entry_boxes_known": entry_updates::sharers(self).known,
             "entry_boxes_told_quotas": self.count_subscribers(|subscription| subscription.quotas),
             "entry_boxes_told_loads": self.count_subscribers(|subscription| subscription.loads),
--- a/crates/vaneway-server/src/core/control/store.rs
+++ b/crates/vaneway-server/src/core/control/store.rs
@@ -1,10 +1,11 @@
-//! The agreement's file: who this node is, and everything that it must not forget.
+//! The file with the node's identity and persistent Raft state.
 //!
-//! Data flow: records are queued; one task appends all that are queued in one write, syncs once,
-//! and reports the number of the last. A write or sync that fails is tried again, from the end of
-//! the last good record, until it succeeds: until then the node promises nothing new, and the
-//! others go on without it. The file's name is synced before the first record counts. A snapshot
-//! is written with all that counts into another file, which takes the place of the first.
+//! Data flow: records are queued; one task appends all queued records in one write, syncs once, and
+//! reports the number of the last one. A write or sync that fails is retried from the end of the
+//! last valid record until it succeeds; until then the node promises nothing new, and the other
+//! members continue without it. The folder is synced before the first record counts. A snapshot is
+//! written, together with all state that is still needed, to another file that replaces the first
+//! one.
 
 use std::fs::File;
 use std::fs::OpenOptions;
@@ -33,41 +34,41 @@
 use crate::util::logline::Line;
 use crate::util::timers::Timers;
 
-/// The file's name under the data folder.
+/// Name of the file in the data folder.
 const FILE_NAME: &str = "agreement.log";
 
-/// Pause before a write that failed is tried again.
+/// Delay before a failed write is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// A record of the file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 enum Record {
-    /// The first record: who this node is.
+    /// The first record: identity of this node.
     Identity { node: NodeId, first_members: Members },
-    /// What the node wants to be durable, in order.
+    /// A write requested by the node, in order.
     Persist { term: Term, vote: Option<NodeId>, snapshot: Option<Snapshot>, entries: Vec<Entry> },
-    /// Entries up to this one were committed. Nothing depends on it but how soon a box that starts
-    /// can tell entry boxes a configuration.
+    /// Entries up to this index are committed. It only determines how soon a box that starts can
+    /// send entry boxes a configuration.
     Committed { index: Index },
 }
 
-/// What a folder holds of a node.
+/// Content of a data folder.
 #[derive(Debug, Clone)]
 pub struct Stored {
-    /// The node.
+    /// The node id.
     pub node: NodeId,
-    /// What it must not forget.
+    /// The persistent Raft state.
     pub durable: DurableState,
-    /// Position up to which entries were surely committed.
+    /// Index up to which entries are known to be committed.
     pub committed: Index,
 }
 
-/// What is to be written.
+/// A queued write.
 #[derive(Debug)]
 pub enum Write {
-    /// What the node wants to be durable.
+    /// A write requested by the node.
     Persist(Persist),
-    /// Entries up to this one are committed.
+    /// Entries up to this index are committed.
     Committed(Index),
 }
 
@@ -77,12 +78,12 @@
     path: PathBuf,
     file: compio::fs::File,
     end: u64,
-    /// What the file says, for when it is written anew.
+    /// Content of the file, from which it can be rewritten.
     stored: Stored,
 }
 
 impl Write {
-    /// Bytes of the commands and the snapshot in it.
+    /// Size of its commands and snapshot in bytes.
     pub fn bytes(&self) -> usize {
         match self {
             Self::Persist(persist) => {
@@ -94,26 +95,26 @@
     }
 }
 
-/// Bytes of the commands in entries.
+/// Size of the commands in `entries` in bytes.
 pub fn command_bytes(entries: &[Entry]) -> usize {
     entries.iter().map(|entry| entry.payload.command_bytes()).sum()
 }
 
-/// What reaches a store's task.
+/// Queue of writes for the store's task.
 pub type Queue = mpsc::UnboundedReceiver<Write>;
 
-/// Opens the file under `folder`. A folder without one becomes that of the node that `identity`
-/// gives.
+/// Opens the file under `folder`. If there is none, creates it for the node that `identity`
+/// returns.
 ///
 /// # Errors
 ///
-/// If the file can't be read, written or synced, or a record in it is damaged.
+/// The file cannot be read, written or synced, or a record in it is corrupt.
 pub async fn open(
     folder: &Path,
     identity: impl FnOnce() -> (NodeId, Members),
 ) -> eyre::Result<(Stored, Store)> {
     let path = folder.join(FILE_NAME);
-    let context = || format!("failed to open the agreement's file `{}`", path.display());
+    let context = || format!("failed to open the Raft log file `{}`", path.display());
     std::fs::create_dir_all(folder).wrap_err_with(context)?;
     let bytes = durable_file::read(&path).wrap_err_with(context)?.unwrap_or_default();
     let recovered = vaneway_log::recover(&bytes).wrap_err_with(context)?;
@@ -145,7 +146,7 @@
 fn replay(records: &[&[u8]]) -> eyre::Result<Option<Stored>> {
     let mut stored: Option<Stored> = None;
     for record in records {
-        match (postcard::from_bytes(record).wrap_err("a record can't be read")?, &mut stored) {
+        match (postcard::from_bytes(record).wrap_err("failed to decode a record")?, &mut stored) {
             (Record::Identity { node, first_members }, None) => {
                 let durable = DurableState::empty(first_members);
                 stored = Some(Stored { node, durable, committed: 0 });
@@ -156,9 +157,11 @@
             (Record::Committed { index }, Some(stored)) => {
                 stored.committed = stored.committed.max(index);
             }
-            (Record::Identity { .. }, Some(_)) => eyre::bail!("the file names two nodes"),
+            (Record::Identity { .. }, Some(_)) => {
+                eyre::bail!("the file contains two identity records")
+            }
             (Record::Persist { .. } | Record::Committed { .. }, None) => {
-                eyre::bail!("the file does not name its node")
+                eyre::bail!("the file does not begin with an identity record")
             }
         }
     }
@@ -180,8 +183,9 @@
 }
 
 impl Store {
-    /// Writes what is queued until the queue is closed; `durable` learns the number of the last
-    /// record of each batch, and `written` how many bytes of commands and snapshots it had.
+    /// Writes queued records until the queue is closed. Calls `durable` with the number of the last
+    /// record of each batch, and `written` with the batch's size in bytes of commands and
+    /// snapshots.
     pub async fn write_forever(
         mut self,
         timers: Timers,
@@ -216,8 +220,8 @@
         }
     }
 
-    /// Writes a batch, or with `rewrite` another file with all that counts, again and again until it
-    /// succeeds.
+    /// Appends a batch, or with `rewrite` replaces the file by one with the complete content;
+    /// retries until it succeeds.
     async fn write(&mut self, timers: &Timers, batch: Vec<u8>, rewrite: bool) {
         let mut batch = batch;
         let mut failed = false;
@@ -237,7 +241,7 @@
         }
     }
 
-    /// Appends and syncs; `batch` stays as it is.
+    /// Appends and syncs; `batch` is left unchanged.
     async fn try_append(&mut self, batch: &mut Vec<u8>) -> io::Result<()> {
         let bytes = std::mem::take(batch);
         let BufResult(written, bytes) = self.file.write_all_at(bytes, self.end).await;
