--- a/crates/vaneway-server/src/core/cached_parts.rs
+++ b/crates/vaneway-server/src/core/cached_parts.rs
@@ -1,11 +1,13 @@
-//! Prompt parts that entry boxes brought to endpoints, as a control box passes it on, without I/O.
+//! Prompt parts cached at endpoints, which a control box forwards between entry boxes, without I/O.
 //!
-//! Why: of hundreds of entry boxes each sees an endpoint seldom. By itself it knows hardly any of the parts
-//! that are kept there, sends requests to where their prompts have to be read again, and takes the work
-//! given to endpoints for more than it is.
+//! Each of hundreds of entry boxes sends to any one endpoint only seldom. From its own requests it
+//! would know hardly any of the prompt parts that are cached there, so it would send requests to
+//! endpoints that have to process their prompts again, and would overestimate the work outstanding
+//! at endpoints.
 //!
-//! Data flow: an entry box tells which parts it brought where ([`PartLedger::record`]), unless it knows
-//! that they are told already. What is news goes to all entry boxes once ([`PartLedger::take_updates`]).
+//! Data flow: an entry box reports the parts that its requests brought to endpoints
+//! ([`PartLedger::record`]), unless it knows that they were reported already. New ones are sent to
+//! all entry boxes once ([`PartLedger::take_updates`]).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,64 +17,66 @@
 use vaneway_route::CACHED_PART_MAX_AGE;
 use vaneway_route::PartId;
 
-/// Prompt parts by the endpoint that keeps them.
+/// Prompt parts by the endpoint that caches them.
 pub type CachedParts = Vec<(InstanceId, Vec<PartId>)>;
 
-/// Age up to which a part that is told again is no news: entry boxes that had not heard of it yet.
-const TOLD_LATELY: Duration = Duration::from_secs(1);
+/// Age up to which a repeated report of a part is not forwarded: it is from an entry box that had
+/// not received the first one yet.
+const REPEATED_REPORT_MAX_AGE: Duration = Duration::from_secs(1);
 
-/// Parts that wait to be passed on; beyond it they are known to those that brought them.
-const NEWS_MOST: usize = 16_384;
+/// Most parts that are queued for forwarding; any beyond it are known only to the boxes that
+/// reported them.
+const MAX_QUEUED_UPDATES: usize = 16_384;
 
-/// What is known of kept parts.
+/// The prompt parts that are known to be cached.
 #[derive(Debug, Default)]
 pub struct PartLedger {
-    /// When a part was last told to be at an endpoint.
-    known: BTreeMap<InstanceId, BTreeMap<PartId, Instant>>,
-    news: Vec<(InstanceId, PartId)>,
+    /// When a part was last reported to be at an endpoint.
+    reported_at: BTreeMap<InstanceId, BTreeMap<PartId, Instant>>,
+    updates: Vec<(InstanceId, PartId)>,
 }
 
 impl PartLedger {
-    /// Learns of parts that were brought to endpoints.
+    /// Records parts that requests brought to endpoints.
     pub fn record(&mut self, now: Instant, parts: &[(InstanceId, Vec<PartId>)]) {
         for (instance, parts) in parts {
-            let known = self.known.entry(instance.clone()).or_default();
+            let reported_at = self.reported_at.entry(instance.clone()).or_default();
             for part in parts {
-                let before = known.insert(*part, now);
-                let is_news = before.is_none_or(|at| now >= at + TOLD_LATELY);
-                if is_news && self.news.len() < NEWS_MOST {
-                    self.news.push((instance.clone(), *part));
+                let before = reported_at.insert(*part, now);
+                let is_update = before.is_none_or(|at| now >= at + REPEATED_REPORT_MAX_AGE);
+                if is_update && self.updates.len() < MAX_QUEUED_UPDATES {
+                    self.updates.push((instance.clone(), *part));
                 }
             }
         }
     }
 
-    /// What was learned since this was last asked.
+    /// Returns the parts to forward that were recorded since the last call.
     pub fn take_updates(&mut self) -> CachedParts {
-        let mut news = BTreeMap::<InstanceId, Vec<PartId>>::new();
-        for (instance, part) in self.news.drain(..) {
-            news.entry(instance).or_default().push(part);
+        let mut updates = BTreeMap::<InstanceId, Vec<PartId>>::new();
+        for (instance, part) in self.updates.drain(..) {
+            updates.entry(instance).or_default().push(part);
         }
-        news.into_iter().collect()
+        updates.into_iter().collect()
     }
 
-    /// Forgets all that was at an endpoint, which has started anew.
+    /// Removes all parts of an endpoint, which has restarted.
     pub fn remove_endpoint(&mut self, instance: &InstanceId) {
-        self.known.remove(instance);
-        self.news.retain(|(at, _)| at != instance);
+        self.reported_at.remove(instance);
+        self.updates.retain(|(at, _)| at != instance);
     }
 
-    /// Forgets what no longer counts.
+    /// Removes the parts that were last reported [`CACHED_PART_MAX_AGE`] or longer ago.
     pub fn expire(&mut self, now: Instant) {
-        for parts in self.known.values_mut() {
+        for parts in self.reported_at.values_mut() {
             parts.retain(|_, at| now < *at + CACHED_PART_MAX_AGE);
         }
-        self.known.retain(|_, parts| !parts.is_empty());
+        self.reported_at.retain(|_, parts| !parts.is_empty());
     }
 
-    /// All that is known, for an entry box that knows nothing.
+    /// All known parts, for an entry box that has just subscribed.
     pub fn all(&self) -> CachedParts {
-        let all = self.known.iter();
+        let all = self.reported_at.iter();
         all.map(|(instance, parts)| (instance.clone(), parts.keys().copied().collect())).collect()
     }
 }
--- a/crates/vaneway-server/src/core/cloud_notices.rs
+++ b/crates/vaneway-server/src/core/cloud_notices.rs
@@ -1,8 +1,8 @@
-//! The cloud platform's interface: its lagging list of boxes and its reclaim notices.
+//! Client of the cloud platform's list of boxes and of its reclaim notices.
 //!
-//! Notices are pushed: a request for them waits at the platform until there is one. The list only
-//! confirms what notices said, and shows new instances; since it lags, it can never bring an
-//! instance back that a notice marked as leaving.
+//! Notices arrive by long polling: the platform holds a request until there is a notice. The list
+//! only confirms notices and shows new instances. Since it lags, it can't revert the state of an
+//! instance that a notice marked as leaving.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,14 +21,14 @@
 use crate::util::clock;
 use crate::util::logline::Line;
 
-/// Pause after the platform did not answer.
-const RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Pause before retrying after the platform failed to answer.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Time beyond the wait asked for before the platform counts as not answering.
-const ANSWER_WITHIN: Duration = Duration::from_secs(2);
+/// Time allowed for an answer, in addition to the long-poll wait.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Most bytes of an answer of the platform.
-const ANSWER_BYTES_MOST: usize = 16 << 20;
+/// Largest answer of the platform, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 #[derive(Debug, Deserialize)]
 struct BoxList {
@@ -65,11 +65,11 @@
     gone_in_ms: u64,
 }
 
-/// Looks at the list of boxes again and again.
+/// Polls the list of boxes until dropped.
 pub async fn follow_list(entry: Rc<Entry>) {
     let Some(platform) = entry.settings.platform.clone() else { return };
     loop {
-        match fetch::<BoxList>(&entry, &platform, "/v1/boxes", ANSWER_WITHIN).await {
+        match fetch::<BoxList>(&entry, &platform, "/v1/boxes", ANSWER_TIMEOUT).await {
             Some(list) => apply_list(&entry, &list),
             None => log::debug!("event=platform_list_unavailable"),
         }
@@ -77,20 +77,20 @@
     }
 }
 
-/// Waits for notices again and again.
+/// Polls for notices until dropped.
 pub async fn follow_notices(entry: Rc<Entry>) {
     let Some(platform) = entry.settings.platform.clone() else { return };
     let mut after = 0;
     loop {
         let wait = platform.notice_poll_timeout;
         let path = format!("/v1/notices?after={after}&wait_ms={}", wait.as_millis());
-        match fetch::<NoticeList>(&entry, &platform, &path, wait + ANSWER_WITHIN).await {
+        match fetch::<NoticeList>(&entry, &platform, &path, wait + ANSWER_TIMEOUT).await {
             Some(list) => {
-                // A platform that started over counts from the beginning again.
+                // A platform that was restarted numbers its notices from the beginning.
                 after = list.next;
                 apply_notices(&entry, &list.notices);
             }
-            None => entry.timers.sleep(RETRY_AFTER).await,
+            None => entry.timers.sleep(RETRY_DELAY).await,
         }
     }
 }
@@ -105,8 +105,8 @@
         let gone_at = clock::now() + Duration::from_millis(notice.gone_in_ms);
         let instance =
             Instance { box_name: notice.name.clone(), instance: notice.instance.clone() };
-        entry.mark(&instance, gone_at);
-        marks::learn(entry, &instance, gone_at);
+        entry.mark_leaving(&instance, gone_at);
+        marks::publish(entry, &instance, gone_at);
     }
 }
 
@@ -132,16 +132,16 @@
     });
 }
 
-/// Gets one JSON answer of the platform; none if it did not give one in time.
+/// Fetches one JSON answer from the platform; none if it failed or did not arrive in time.
 async fn fetch<T: DeserializeOwned>(
     entry: &Entry,
     platform: &Platform,
     path: &str,
-    within: Duration,
+    timeout: Duration,
 ) -> Option<T> {
-    let until = clock::now() + within;
+    let until = clock::now() + timeout;
     let req = Request::builder().uri(path).body(Full::default()).expect("the path is valid");
-    let (connections, limit) = (&entry.connections, ANSWER_BYTES_MOST);
+    let (connections, limit) = (&entry.connections, MAX_ANSWER_BYTES);
     let exchange = connections.exchange(&entry.timers, platform.address, req, limit, until).await;
     let (_, body) = exchange.ok().filter(|(status, _)| status.is_success())?;
     match serde_json::from_slice(&body) {
--- a/crates/vaneway-server/src/core/cluster/advertised_control_boxes.rs
+++ b/crates/vaneway-server/src/core/cluster/advertised_control_boxes.rs
@@ -1,31 +1,34 @@
-//! Which control boxes an entry box follows, by those that they name, without I/O.
+//! Decides which control boxes an entry box connects to, by the lists that they advertise, without
+//! I/O.
 //!
-//! Why not those that were named last: control boxes learn at different times what was agreed on. One that has just been
-//! let in reads the log from its beginning and names those that took part then, itself not among them. Entry boxes
-//! that left it for that would not come back, and it might lead without hearing of any request. So an entry box
-//! leaves a control box only once none that it is connected to names it.
+//! The latest list alone is not enough, since control boxes learn at different times what was
+//! committed. One that has just been added replays the log from its beginning and advertises the
+//! members of that time, without itself. Entry boxes that disconnected from it for that reason
+//! would not return, and it might become the leader without receiving any reports. So an entry box
+//! disconnects from a control box only once none of its connected control boxes advertises it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// The control boxes that each control box named last.
+/// The list that each control box advertised last.
 #[derive(Debug, Default)]
 pub struct AdvertisedControlBoxes(BTreeMap<SocketAddr, BTreeSet<SocketAddr>>);
 
 impl AdvertisedControlBoxes {
-    /// Learns which control boxes the one at `by` names; what others named that are not connected now is forgotten.
+    /// Records the list that the control box at `by` advertises, and removes those of control boxes
+    /// that are not connected.
     pub fn record(
         &mut self,
         by: SocketAddr,
-        named: &[SocketAddr],
+        advertised: &[SocketAddr],
         is_connected: impl Fn(&SocketAddr) -> bool,
     ) {
         self.0.retain(|other, _| is_connected(other));
-        self.0.insert(by, named.iter().copied().collect());
+        self.0.insert(by, advertised.iter().copied().collect());
     }
 
-    /// All that are named.
+    /// All control boxes that are advertised.
     pub fn all(&self) -> BTreeSet<SocketAddr> {
         self.0.values().flatten().copied().collect()
     }
--- a/crates/vaneway-server/src/core/cluster/configuration_source.rs
+++ b/crates/vaneway-server/src/core/cluster/configuration_source.rs
@@ -1,8 +1,8 @@
-//! Which control box an entry box asks for a configuration, without I/O.
+//! Decides from which control box an entry box requests a configuration, without I/O.
 //!
-//! Every control box says which version is agreed on, which is short; the configuration is long, and comes from one of them.
-//! It is asked for again elsewhere when it is late, and the wait grows with each time, so that a link that needs long for
-//! it is not filled with copies.
+//! All control boxes announce the committed version, which is short; the configuration itself is
+//! long and is fetched from one of them. If it doesn't arrive in time it is requested from another
+//! one, and the timeout grows with each attempt, so that a slow link is not filled with copies.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,63 +12,65 @@
 use crate::core::configuration::Version;
 use crate::util::hash;
 
-/// How long others wait for the preferred control box to have a version too: longer than a follower is behind its leader.
-const PREFERRED_WITHIN: Duration = Duration::from_millis(150);
+/// How long the entry box waits for the preferred control box to have a version that others have
+/// announced: longer than a follower lags behind its leader.
+const PREFERRED_GRACE: Duration = Duration::from_millis(150);
 
-/// How long the first answer may take: a configuration of 1 MB over a link of 10 Mbit/s.
-const ANSWER_WITHIN: Duration = Duration::from_millis(800);
+/// Timeout of the first request: enough for a configuration of 1 MB over a link of 10 Mbit/s.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Most doublings of the time for an answer.
-const DOUBLINGS_MOST: u32 = 2;
+/// Most times that the timeout is doubled.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
 
-/// What is offered, and what was asked for.
+/// The versions that control boxes offer, and the request that is pending.
 #[derive(Debug)]
 pub struct ConfigurationSource {
-    /// This box's own, by which boxes turn to different control boxes.
+    /// A number of the box's own, by which boxes choose different control boxes.
     seed: u64,
     offers: BTreeMap<SocketAddr, Version>,
     /// When a version above the box's own was first offered.
     behind_since: Option<Instant>,
-    asked: Option<Asked>,
-    /// Answers that were late in a row.
-    late: u32,
+    pending: Option<PendingRequest>,
+    /// Number of consecutive requests that timed out.
+    timeouts: u32,
 }
 
 #[derive(Debug)]
-struct Asked {
-    of: SocketAddr,
-    at: Instant,
+struct PendingRequest {
+    to: SocketAddr,
+    sent_at: Instant,
 }
 
 impl ConfigurationSource {
-    /// One that knows of no control box.
+    /// A source that knows no control box.
     pub fn new(seed: u64) -> Self {
-        Self { seed, offers: BTreeMap::new(), behind_since: None, asked: None, late: 0 }
+        Self { seed, offers: BTreeMap::new(), behind_since: None, pending: None, timeouts: 0 }
     }
 
-    /// A control box says that a version is agreed on.
+    /// Records that a control box announced a committed version.
     pub fn record_offer(&mut self, by: SocketAddr, version: Version) {
         self.offers.insert(by, version);
     }
 
-    /// The connection to a control box ended.
+    /// Records that the connection to a control box ended.
     pub fn disconnected(&mut self, by: SocketAddr) {
         self.offers.remove(&by);
-        self.asked.take_if(|asked| asked.of == by);
+        self.pending.take_if(|pending| pending.to == by);
     }
 
-    /// A control box has answered.
+    /// Records the answer of a control box.
     pub fn answered(&mut self, by: SocketAddr) {
-        self.late = 0;
-        self.asked.take_if(|asked| asked.of == by);
+        self.timeouts = 0;
+        self.pending.take_if(|pending| pending.to == by);
     }
 
-    /// The newest version that is known to be agreed on; 0 if none is.
+    /// The newest committed version that was announced; 0 if there is none.
     pub fn newest(&self) -> Version {
         self.offers.values().copied().max().unwrap_or_default()
     }
 
-    /// Whom to ask now for something newer than `own`; `preferred` goes first.
+    /// The control box to send a request to now, for a version newer than `own`; `preferred` is
+    /// chosen first.
     pub fn next_request(
         &mut self,
         now: Instant,
@@ -78,32 +80,32 @@
         let newest = self.newest();
         if newest <= own {
             self.behind_since = None;
-            self.asked = None;
+            self.pending = None;
             return None;
         }
         let behind_since = *self.behind_since.get_or_insert(now);
-        let within = ANSWER_WITHIN * 2_u32.pow(self.late.min(DOUBLINGS_MOST));
-        let late = match &self.asked {
-            Some(asked) if now < asked.at + within => return None,
-            asked => asked.as_ref().map(|asked| asked.of),
+        let timeout = ANSWER_TIMEOUT * 2_u32.pow(self.timeouts.min(MAX_TIMEOUT_DOUBLINGS));
+        let timed_out = match &self.pending {
+            Some(pending) if now < pending.sent_at + timeout => return None,
+            pending => pending.as_ref().map(|pending| pending.to),
         };
         let has_newest = |by: &SocketAddr| self.offers.get(by) == Some(&newest);
-        let preferred = preferred.filter(|by| late != Some(*by));
-        let waits = preferred.is_some() && now < behind_since + PREFERRED_WITHIN;
-        let of = match preferred.filter(has_newest) {
+        let preferred = preferred.filter(|by| timed_out != Some(*by));
+        let waits = preferred.is_some() && now < behind_since + PREFERRED_GRACE;
+        let source = match preferred.filter(has_newest) {
             Some(preferred) => preferred,
             None if waits => return None,
-            None => self.other(newest, late)?,
+            None => self.other(newest, timed_out)?,
         };
-        self.late += u32::from(late.is_some());
-        self.asked = Some(Asked { of, at: now });
-        Some(of)
+        self.timeouts += u32::from(timed_out.is_some());
+        self.pending = Some(PendingRequest { to: source, sent_at: now });
+        Some(source)
     }
 
-    /// A control box with the newest version, if possible another one than that which is late.
-    fn other(&self, newest: Version, late: Option<SocketAddr>) -> Option<SocketAddr> {
+    /// A control box with the newest version, if possible not the one whose request timed out.
+    fn other(&self, newest: Version, timed_out: Option<SocketAddr>) -> Option<SocketAddr> {
         let offers = self.offers.iter().filter(|(_, version)| **version == newest);
         let have = offers.map(|(by, _)| *by);
-        have.min_by_key(|by| (late == Some(*by), hash::of((self.seed, by))))
+        have.min_by_key(|by| (timed_out == Some(*by), hash::of((self.seed, by))))
     }
 }
--- a/crates/vaneway-server/src/core/cluster/datagram.rs
+++ b/crates/vaneway-server/src/core/cluster/datagram.rs
@@ -1,4 +1,4 @@
-//! The socket between entry boxes and the form of its datagrams.
+//! The datagram socket between entry boxes, and the format of its datagrams.
 //!
 //! A datagram is an [`Envelope`] in `postcard`, followed by a tag: the first bytes of an
 //! HMAC-SHA-256 over it with the deployment's key.
@@ -17,10 +17,10 @@
 
 use crate::core::settings;
 
-/// Bytes of a tag.
+/// Length of a tag, in bytes.
 const TAG_BYTES: usize = 16;
 
-/// One message with its sender.
+/// A message with its sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// Name of the sending box.
@@ -29,22 +29,22 @@
     pub message: Message,
 }
 
-/// The marks of this box and its socket.
+/// The socket for the other entry boxes, and the marks that this box knows.
 #[derive(Debug)]
 pub struct Cluster {
     pub(crate) socket: UdpSocket,
     pub(crate) key: String,
     pub(crate) marks: RefCell<Marks>,
-    /// Resolved when a peer's marks arrive for the first time.
-    pub(crate) first: RefCell<Option<oneshot::Sender<()>>>,
+    /// Sent to when the first marks arrive from a peer.
+    pub(crate) first_marks: RefCell<Option<oneshot::Sender<()>>>,
 }
 
 impl Cluster {
-    /// Binds the socket for datagrams.
+    /// Binds the datagram socket.
     ///
     /// # Errors
     ///
-    /// If the address can't be bound.
+    /// Fails if the address can't be bound.
     pub async fn bind(
         settings: &settings::Cluster,
         peers: usize,
@@ -52,29 +52,29 @@
     ) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(settings.listen).await?;
         let marks = RefCell::new(Marks::new(peers, seed));
-        Ok(Self { socket, key: settings.key.clone(), marks, first: RefCell::default() })
+        Ok(Self { socket, key: settings.key.clone(), marks, first_marks: RefCell::default() })
     }
 
     /// The bound address.
     ///
     /// # Errors
     ///
-    /// The operating system's.
+    /// Fails if the operating system can't provide it.
     pub fn local_addr(&self) -> std::io::Result<std::net::SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// How many marks are known.
+    /// Number of known marks.
     pub fn marks(&self) -> usize {
         self.marks.borrow().len()
     }
 }
 
-/// Turns an envelope into a datagram.
+/// Encodes an envelope and appends its tag.
 ///
 /// # Panics
 ///
-/// Never: every envelope can be written.
+/// Never: every envelope can be encoded.
 pub fn seal(key: &str, envelope: &Envelope) -> Vec<u8> {
     let mut datagram = postcard::to_stdvec(envelope).expect("every envelope can be written");
     let tag = tag(key, &datagram);
@@ -82,7 +82,7 @@
     datagram
 }
 
-/// Reads a datagram; none if its tag or its form is wrong.
+/// Decodes a datagram; none if its tag or its format is wrong.
 pub fn unseal(key: &str, datagram: &[u8]) -> Option<Envelope> {
     let (body, sent) = datagram.split_at_checked(datagram.len().checked_sub(TAG_BYTES)?)?;
     let mut mac = keyed(key);
--- a/crates/vaneway-server/src/core/cluster/follow.rs
+++ b/crates/vaneway-server/src/core/cluster/follow.rs
@@ -1,9 +1,11 @@
-//! How an entry box follows the control boxes.
+//! An entry box's communication with the control boxes.
 //!
-//! Data flow: one connection to each control box that is known: the seeds of the settings at
-//! first, then whoever the control boxes name ([`advertised_control_boxes`]). Any of them may name the newest configuration and
-//! endpoints; one that is cut off or behind takes nothing away. A configuration is asked for at one ([`configuration_source`]). What
-//! requests used is told to all; what the others used is heard from two ([`publishers`]).
+//! Data flow: the entry box keeps a connection to each known control box: to the seeds in its
+//! settings at first, then to the control boxes that these advertise
+//! ([`advertised_control_boxes`]). It accepts the newest configuration and endpoints from any of
+//! them, so that one which is cut off or behind does no harm. A configuration is requested from one
+//! of them ([`configuration_source`]). Usage is reported to all; the usage of the other entry boxes
+//! is received from two ([`publishers`]).
 //!
 //! [`configuration_source`]: crate::core::cluster::configuration_source
 //! [`advertised_control_boxes`]: crate::core::cluster::advertised_control_boxes
@@ -63,101 +65,103 @@
 use crate::util::send_queue::SendQueue;
 use crate::util::socket;
 
-/// Largest step by which a better estimate of the cluster's time may differ without a log line.
-const CLOCK_STEP: Duration = Duration::from_millis(250);
+/// Largest difference of a new estimate of the cluster time from the previous one that is not
+/// logged as a clock step.
+const CLOCK_STEP_THRESHOLD: Duration = Duration::from_millis(250);
 
 #[derive(Debug)]
 struct Follower {
     entry: Rc<Entry>,
     settings: FollowSettings,
-    /// Where configurations come from.
+    /// Decides where configurations are requested.
     source: RefCell<ConfigurationSource>,
-    /// Whether a change did not fit the configuration that is in force here.
-    whole_wanted: Cell<bool>,
-    /// What the connections hold.
-    held: Rc<BufferedBytes>,
-    /// Control boxes that are named.
-    named: RefCell<AdvertisedControlBoxes>,
+    /// Whether the complete configuration is needed, since a change did not fit the one in force.
+    needs_full_configuration: Cell<bool>,
+    /// Bytes buffered by the connections.
+    buffered: Rc<BufferedBytes>,
+    /// Control boxes that control boxes advertise.
+    advertised: RefCell<AdvertisedControlBoxes>,
     /// Control boxes to which a connection is kept.
-    kept: RefCell<BTreeSet<SocketAddr>>,
-    /// Connections that are open.
+    wanted: RefCell<BTreeSet<SocketAddr>>,
+    /// Open connections.
     open: RefCell<BTreeMap<SocketAddr, ControlLink>>,
-    /// What this box last told of its open work at endpoints.
-    told: RefCell<BTreeMap<InstanceId, Load>>,
-    /// When it last changed which control boxes tell what the others use.
-    told_by_since: Cell<Instant>,
-    /// Whether it told that this box is done.
-    said_done: Cell<bool>,
-    /// Round trip of the exchange that gave the present estimate of the cluster's time, and when.
-    clock_from: Cell<Option<(Duration, Instant)>>,
+    /// This box's load at endpoints as last reported.
+    reported_loads: RefCell<BTreeMap<InstanceId, Load>>,
+    /// When a subscription to a publisher last changed.
+    publishers_changed_at: Cell<Instant>,
+    /// Whether the final report was sent.
+    sent_final_report: Cell<bool>,
+    /// Round trip and time of the ping that gave the present estimate of the cluster time.
+    clock_sample: Cell<Option<(Duration, Instant)>>,
 }
 
-/// Time for which tellers stay as they are while all connections do. Each new one has to tell all that it
-/// knows, and those that are late together would be left for each other in turn.
-const TELLERS_KEPT: Duration = Duration::from_secs(2);
+/// Minimum time between changes of publishers while no connection opens or breaks. A new publisher
+/// has to send its complete state, and if several were late at the same time, they would be
+/// replaced by each other in turn.
+const PUBLISHER_CHANGE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How old an estimate of the cluster's time may be before a worse one replaces it.
-const CLOCK_KEPT: Duration = Duration::from_secs(20);
+/// Age up to which an estimate of the cluster time is not replaced by one with a longer round trip.
+const CLOCK_SAMPLE_MAX_AGE: Duration = Duration::from_secs(20);
 
-/// Follows the control boxes until dropped.
+/// Communicates with the control boxes until dropped.
 pub async fn follow(entry: Rc<Entry>) {
     let Some(settings) = entry.settings.follow.clone() else { return };
     let source = ConfigurationSource::new(hash::of(&entry.settings.name));
     let follower = Rc::new(Follower {
         entry,
         source: RefCell::new(source),
-        whole_wanted: Cell::new(false),
+        needs_full_configuration: Cell::new(false),
         settings,
-        held: Rc::default(),
-        named: RefCell::default(),
-        kept: RefCell::default(),
+        buffered: Rc::default(),
+        advertised: RefCell::default(),
+        wanted: RefCell::default(),
         open: RefCell::default(),
-        told: RefCell::default(),
-        told_by_since: Cell::new(clock::now()),
-        said_done: Cell::new(false),
-        clock_from: Cell::new(None),
+        reported_loads: RefCell::default(),
+        publishers_changed_at: Cell::new(clock::now()),
+        sent_final_report: Cell::new(false),
+        clock_sample: Cell::new(None),
     });
-    follower.keep(BTreeSet::new());
-    let mut pinged = clock::now();
+    follower.set_control_boxes(BTreeSet::new());
+    let mut pinged_at = clock::now();
     let mut round: u64 = 0;
-    let mut use_told = clock::now();
+    let mut usage_reported_at = clock::now();
     loop {
         follower.entry.timers.sleep(LOAD_REPORT_INTERVAL).await;
-        if follower.said_done.get() {
+        if follower.sent_final_report.get() {
             continue;
         }
-        follower.ask_for_configuration();
-        follower.tell_loads();
-        follower.tell_parts();
-        follower.tell_findings();
-        follower.tell_limits();
+        follower.request_configuration();
+        follower.report_loads();
+        follower.report_parts();
+        follower.report_quarantine();
+        follower.report_limits();
         if follower.entry.is_done() {
-            follower.say_done();
+            follower.send_final_report();
             continue;
         }
-        if clock::elapsed(use_told) < USAGE_REPORT_INTERVAL {
+        if clock::elapsed(usage_reported_at) < USAGE_REPORT_INTERVAL {
             continue;
         }
-        use_told = clock::now();
+        usage_reported_at = clock::now();
         round += 1;
         let report = follower.report(round.is_multiple_of(USAGE_REPORTS_PER_FULL));
         follower.send_to_all(FromEntry::Usage(report));
-        if clock::elapsed(pinged) >= PING_INTERVAL {
-            pinged = clock::now();
-            let sent_us = follower.steady_us();
+        if clock::elapsed(pinged_at) >= PING_INTERVAL {
+            pinged_at = clock::now();
+            let sent_us = follower.monotonic_us();
             follower.open.borrow().values().for_each(|link| link.ping(sent_us));
         }
-        if clock::elapsed(follower.told_by_since.get()) >= TELLERS_KEPT {
-            follower.choose_tellers();
+        if clock::elapsed(follower.publishers_changed_at.get()) >= PUBLISHER_CHANGE_INTERVAL {
+            follower.choose_publishers();
         }
     }
 }
 
 impl Follower {
-    /// Keeps a connection to each of these control boxes and to the seeds, and to no others.
-    fn keep(self: &Rc<Self>, mut wanted: BTreeSet<SocketAddr>) {
+    /// Keeps a connection to each of these control boxes and to the seeds, and closes all others.
+    fn set_control_boxes(self: &Rc<Self>, mut wanted: BTreeSet<SocketAddr>) {
         wanted.extend(&self.settings.seeds);
-        let before = self.kept.replace(wanted.clone());
+        let before = self.wanted.replace(wanted.clone());
         if before == wanted {
             return;
         }
@@ -168,7 +172,7 @@
         for address in wanted.difference(&before) {
             let follower = Rc::clone(self);
             let address = *address;
-            compio::runtime::spawn(async move { follower.keep_one(address).await }).detach();
+            compio::runtime::spawn(async move { follower.stay_connected(address).await }).detach();
         }
         for address in before.difference(&wanted) {
             if let Some(link) = self.open.borrow().get(address) {
@@ -177,16 +181,16 @@
         }
     }
 
-    /// Opens a connection again and again while it is wanted.
-    async fn keep_one(self: Rc<Self>, address: SocketAddr) {
-        let wanted = || self.kept.borrow().contains(&address);
+    /// Keeps a connection open, reconnecting as long as the control box is wanted.
+    async fn stay_connected(self: Rc<Self>, address: SocketAddr) {
+        let wanted = || self.wanted.borrow().contains(&address);
         let run = async |stream| self.run(address, stream).await;
         let seed = hash::of(&self.entry.settings.name);
         keep_connected(&self.entry.timers, seed, address, wanted, run).await;
     }
 
     async fn run(self: &Rc<Self>, address: SocketAddr, stream: socket::SocketStream) {
-        let outgoing = SendQueue::new(&self.held);
+        let outgoing = SendQueue::new(&self.buffered);
         let link = ControlLink::new(outgoing.clone());
         link.send(self.hello());
         self.open.borrow_mut().insert(address, link);
@@ -195,15 +199,16 @@
             None => self.entry.metrics.datagrams_dropped.inc(),
         };
         let timers = &self.entry.timers;
-        let silence = IdleTimeouts { host: HOST_SILENCE_TIMEOUT, process: PROCESS_SILENCE_TIMEOUT };
-        let why = frames::drive(timers, &stream, &outgoing, silence, on_frame).await;
+        let idle_timeouts =
+            IdleTimeouts { host: HOST_SILENCE_TIMEOUT, process: PROCESS_SILENCE_TIMEOUT };
+        let why = frames::drive(timers, &stream, &outgoing, idle_timeouts, on_frame).await;
         let link = self.open.borrow_mut().remove(&address);
         self.source.borrow_mut().disconnected(address);
-        self.choose_tellers();
+        self.choose_publishers();
         Line::new("control_lost")
             .with("address", address)
             .with("why", why)
-            .with("taken_in", link.is_some_and(|link| link.taken_in.get()))
+            .with("taken_in", link.is_some_and(|link| link.admitted.get()))
             .info();
     }
 
@@ -216,36 +221,37 @@
         }
     }
 
-    /// Tells a control box that has taken this box in what it must know.
-    fn introduce(&self, address: SocketAddr, link: &ControlLink) {
-        link.taken_in.set(true);
+    /// Sends the initial messages to a control box that has admitted this box.
+    fn handle_hello(&self, address: SocketAddr, link: &ControlLink) {
+        link.admitted.set(true);
         link.send(FromEntry::OfferConfigurations);
         link.send(FromEntry::Leaving(self.leaving()));
-        self.tell_all_that_is_told_once(link);
+        self.send_all_records(link);
         link.send(FromEntry::Usage(self.report(true)));
-        link.ping(self.steady_us());
+        link.ping(self.monotonic_us());
         Line::new("control_connected")
             .with("address", address)
-            .with("waited_ms", clock::elapsed(link.opened).as_millis())
+            .with("waited_ms", clock::elapsed(link.opened_at).as_millis())
             .info();
     }
 
-    /// A control box has taken in all that it was told before; tells it what was left out meanwhile.
-    fn taken_in(&self, link: &ControlLink) {
-        link.pinged.set(None);
-        if link.missed.replace(false) {
-            self.tell_all_that_is_told_once(link);
+    /// Handles the answer to a ping: the control box has processed everything sent before, so what
+    /// was skipped is sent now.
+    fn handle_pong(&self, link: &ControlLink) {
+        link.ping_sent_at.set(None);
+        if link.has_skipped.replace(false) {
+            self.send_all_records(link);
             link.send(FromEntry::Usage(self.report(true)));
-            link.ping(self.steady_us());
+            link.ping(self.monotonic_us());
         }
     }
 
-    /// Tells a control box all findings and limits. As news they are told once, so one that could not be told then would
-    /// never hear of them.
-    fn tell_all_that_is_told_once(&self, link: &ControlLink) {
-        let findings = self.entry.quarantine.borrow().valid_records(self.entry.cluster_time());
-        if !findings.is_empty() {
-            link.send(FromEntry::QuarantineRecords(findings));
+    /// Sends all quarantine records and limits to a control box. Updates are sent only once, so a
+    /// control box that missed one would never receive it.
+    fn send_all_records(&self, link: &ControlLink) {
+        let records = self.entry.quarantine.borrow().valid_records(self.entry.cluster_time());
+        if !records.is_empty() {
+            link.send(FromEntry::QuarantineRecords(records));
         }
         let limits = self.entry.limits.borrow().all();
         if !limits.is_empty() {
@@ -255,77 +261,84 @@
 
     fn received(self: &Rc<Self>, from: SocketAddr, message: ToEntry) {
         if let Some(link) = self.open.borrow().get(&from) {
-            link.heard.set(clock::now());
+            link.last_message_at.set(clock::now());
         }
         match message {
             ToEntry::Hello { availability_zone } => {
                 if let Some(link) = self.open.borrow().get(&from) {
                     link.same_zone.set(availability_zone == self.entry.settings.availability_zone);
-                    self.introduce(from, link);
+                    self.handle_hello(from, link);
                 }
-                self.choose_tellers();
+                self.choose_publishers();
             }
             ToEntry::Pong { sent_us, time_us } => {
                 if let Some(link) = self.open.borrow().get(&from) {
-                    self.taken_in(link);
+                    self.handle_pong(link);
                 }
                 // None if the control box has just started and doesn't know the time yet.
                 if let Some(time_us) = time_us {
-                    self.learn_time(sent_us, time_us);
+                    self.record_time_sample(sent_us, time_us);
                 }
             }
             ToEntry::Configuration(configuration) => {
                 self.source.borrow_mut().answered(from);
                 self.entry.configure(configuration);
-                self.whole_wanted.set(false);
-                self.ask_for_configuration();
+                self.needs_full_configuration.set(false);
+                self.request_configuration();
             }
             ToEntry::ConfigurationAgreed { version } => {
                 self.source.borrow_mut().record_offer(from, version);
-                self.ask_for_configuration();
+                self.request_configuration();
             }
             ToEntry::ConfigurationChange(change) => {
                 self.source.borrow_mut().answered(from);
-                self.whole_wanted.set(!self.entry.change_configuration(&change));
-                self.ask_for_configuration();
+                self.needs_full_configuration.set(!self.entry.change_configuration(&change));
+                self.request_configuration();
             }
             ToEntry::Registry(reports) => registered::apply(&self.entry, &reports),
             ToEntry::Remembered { endpoints, left_ms } => {
                 let left = Duration::from_millis(left_ms);
                 registered::add_remembered(&self.entry, &endpoints, left);
             }
-            ToEntry::ControlBoxes(named) => self.learn_control_boxes(from, &named),
+            ToEntry::ControlBoxes(advertised) => self.record_control_boxes(from, &advertised),
             ToEntry::Loads { whole, loads } => {
-                work_at_endpoints::learn_loads(&self.entry, whole, &loads, &self.told.borrow());
+                work_at_endpoints::apply_loads(
+                    &self.entry,
+                    whole,
+                    &loads,
+                    &self.reported_loads.borrow(),
+                );
             }
-            ToEntry::QuarantineRecords(findings) => quarantine::merge(&self.entry, &findings),
-            ToEntry::Limits(told) => limits::merge(&self.entry, &told),
-            ToEntry::BoxNumber(number) => self.learn_box_number(from, number),
-            ToEntry::Parts(parts) => work_at_endpoints::learn_parts(&self.entry, &parts),
-            ToEntry::OthersUsage { as_of, reporting: heard, known, quotas } => {
-                self.entry.share_retries(known);
-                let sharers = Sharers { reporting: heard, known };
+            ToEntry::QuarantineRecords(records) => quarantine::merge(&self.entry, &records),
+            ToEntry::Limits(limits) => limits::merge(&self.entry, &limits),
+            ToEntry::BoxNumber(number) => self.apply_box_number(from, number),
+            ToEntry::Parts(parts) => work_at_endpoints::apply_parts(&self.entry, &parts),
+            ToEntry::OthersUsage { as_of, reporting, known, quotas } => {
+                self.entry.divide_retries(known);
+                let sharers = Sharers { reporting, known };
                 self.entry.quotas.apply_update(self.entry.cluster_time(), as_of, sharers, &quotas);
             }
         }
     }
 
-    /// Learns which control boxes one of them names; none if that one doesn't know.
-    fn learn_control_boxes(self: &Rc<Self>, from: SocketAddr, named: &[SocketAddr]) {
-        if named.is_empty() {
+    /// Records the control boxes that one of them advertises; the list is empty if that one doesn't
+    /// know them.
+    fn record_control_boxes(self: &Rc<Self>, from: SocketAddr, advertised: &[SocketAddr]) {
+        if advertised.is_empty() {
             return;
         }
         let is_open = |address: &SocketAddr| self.open.borrow().contains_key(address);
-        self.named.borrow_mut().record(from, named, is_open);
-        let all = self.named.borrow().all();
-        self.keep(all);
+        self.advertised.borrow_mut().record(from, advertised, is_open);
+        let all = self.advertised.borrow().all();
+        self.set_control_boxes(all);
     }
 
-    /// Learns which of the entry boxes this box is. Control boxes may differ in that for a while, so it goes by one of
-    /// them.
-    fn learn_box_number(&self, from: SocketAddr, number: BoxNumber) {
-        let tells = self.open.borrow().get(&from).is_some_and(|link| link.wanted.get().loads);
-        if tells && self.entry.box_number.replace(Some(number)) != Some(number) {
+    /// Applies the number of this box among the entry boxes. Control boxes may disagree on it for a
+    /// while, so only the first publisher counts.
+    fn apply_box_number(&self, from: SocketAddr, number: BoxNumber) {
+        let is_publisher =
+            self.open.borrow().get(&from).is_some_and(|link| link.wanted.get().loads);
+        if is_publisher && self.entry.box_number.replace(Some(number)) != Some(number) {
             let BoxNumber { number, of } = number;
             Line::new("box_number").with("number", number).with("of", of).with("by", from).info();
         }
@@ -338,48 +351,49 @@
         reports
     }
 
-    /// Asks a control box for the newest configuration, if it is time to.
-    fn ask_for_configuration(&self) {
+    /// Requests the newest configuration from a control box, if one is due.
+    fn request_configuration(&self) {
         let own = self.entry.version();
         let open = self.open.borrow();
         let preferred = open.iter().find(|(_, link)| link.wanted.get().loads);
         let preferred = preferred.map(|(address, _)| *address);
-        let of = self.source.borrow_mut().next_request(clock::now(), own, preferred);
-        if let Some(link) = of.and_then(|of| open.get(&of)) {
-            let have = if self.whole_wanted.get() { 0 } else { own };
+        let target = self.source.borrow_mut().next_request(clock::now(), own, preferred);
+        if let Some(link) = target.and_then(|address| open.get(&address)) {
+            let have = if self.needs_full_configuration.get() { 0 } else { own };
             link.send(FromEntry::RequestConfiguration { have });
         }
     }
 
-    /// Asks the control boxes that are to tell what the others use, and lets the others cease.
-    fn choose_tellers(&self) {
+    /// Chooses the publishers of the other entry boxes' usage, and updates the subscriptions at all
+    /// control boxes.
+    fn choose_publishers(&self) {
         let open = self.open.borrow();
-        let taken_in = open.iter().filter(|(_, link)| link.taken_in.get());
+        let admitted = open.iter().filter(|(_, link)| link.admitted.get());
         let known: Vec<Publisher> =
-            taken_in.map(|(address, link)| link.publisher(*address)).collect();
+            admitted.map(|(address, link)| link.publisher(*address)).collect();
         let chosen = publishers::choose(&self.entry.settings.name, &known);
         for (address, link) in open.iter() {
             let wanted = Wanted {
                 quotas: chosen.contains(address),
-                // Loads are long, change all the time, and are not missed for a moment.
+                // Load updates are long and frequent, and a short gap in them does no harm.
                 loads: chosen.first() == Some(address),
             };
             if link.wanted.replace(wanted) != wanted {
-                self.told_by_since.set(clock::now());
+                self.publishers_changed_at.set(clock::now());
                 link.send(FromEntry::Subscribe(wanted));
                 log::debug!("event=teller address={address} wanted={wanted:?}");
             }
         }
     }
 
-    /// Tells the control boxes what this box has open at endpoints, where it changed.
-    fn tell_loads(&self) {
+    /// Reports this box's load at endpoints to the control boxes, where it changed.
+    fn report_loads(&self) {
         let now: BTreeMap<InstanceId, Load> =
             work_at_endpoints::open_loads(&self.entry).into_iter().collect();
-        let before = self.told.replace(now);
-        let now = self.told.borrow();
-        let ended = before.keys().filter(|id| !now.contains_key(*id));
-        let mut changed: Loads = ended.map(|id| (id.clone(), Load::default())).collect();
+        let before = self.reported_loads.replace(now);
+        let now = self.reported_loads.borrow();
+        let removed = before.keys().filter(|id| !now.contains_key(*id));
+        let mut changed: Loads = removed.map(|id| (id.clone(), Load::default())).collect();
         let other = now.iter().filter(|(id, load)| before.get(*id) != Some(load));
         changed.extend(other.map(|(id, load)| (id.clone(), *load)));
         if !changed.is_empty() {
@@ -387,36 +401,40 @@
         }
     }
 
-    /// Tells the control boxes which prompt parts this box's requests brought where, as far as it is news.
-    fn tell_parts(&self) {
-        let parts = work_at_endpoints::take_brought(&self.entry);
+    /// Reports to the control boxes the prompt parts that this box's requests brought to endpoints,
+    /// if not reported yet.
+    fn report_parts(&self) {
+        let parts = work_at_endpoints::take_new_parts(&self.entry);
         if !parts.is_empty() {
             self.send_to_all(FromEntry::Parts(parts));
         }
     }
 
-    /// Tells the control boxes under which requests endpoints ended here, as far as it is news.
-    fn tell_findings(&self) {
-        let findings = self.entry.quarantine.borrow_mut().take_updates();
-        if !findings.is_empty() {
-            self.send_to_all(FromEntry::QuarantineRecords(findings));
+    /// Reports to the control boxes the requests that were running when endpoints crashed, if not
+    /// reported yet.
+    fn report_quarantine(&self) {
+        let records = self.entry.quarantine.borrow_mut().take_updates();
+        if !records.is_empty() {
+            self.send_to_all(FromEntry::QuarantineRecords(records));
         }
     }
 
-    /// Tells the control boxes which limits endpoints named here, as far as it is news.
-    fn tell_limits(&self) {
+    /// Reports to the control boxes the limits that endpoints advertised to this box, if not
+    /// reported yet.
+    fn report_limits(&self) {
         let limits = limits::take_updates(&self.entry);
         if !limits.is_empty() {
             self.send_to_all(FromEntry::Limits(limits));
         }
     }
 
-    /// Tells the control boxes all that this box used, and that it was all: they need not wait for more.
-    fn say_done(&self) {
-        self.said_done.set(true);
+    /// Sends the final usage report to the control boxes, so that they need not wait for further
+    /// ones.
+    fn send_final_report(&self) {
+        self.sent_final_report.set(true);
         let report = self.report(true);
-        for link in self.open.borrow().values().filter(|link| link.taken_in.get()) {
-            // Also to one that is behind: there will be no later report.
+        for link in self.open.borrow().values().filter(|link| link.admitted.get()) {
+            // Also sent to a control box that lags behind, since no later report follows.
             link.send(FromEntry::Usage(report.clone()));
             link.send(FromEntry::Done);
         }
@@ -425,11 +443,11 @@
     fn send_to_all(&self, message: FromEntry) {
         let message = EncodedFrame::new(&ToControl::Entry(message));
         for link in self.open.borrow().values() {
-            link.tell(&message);
+            link.send_unless_behind(&message);
         }
     }
 
-    /// What this box's requests used: all that is remembered, or the latest.
+    /// This box's usage report: everything that is retained, or the latest slots and windows.
     fn report(&self, all: bool) -> UsageReport {
         let (slots, windows) = if all {
             (RETAINED_SLOTS, RETAINED_WINDOWS)
@@ -438,9 +456,9 @@
         };
         let now = self.entry.cluster_time();
         let first = vaneway_quota::slot(now).saturating_sub(slots);
-        let used = self.entry.usage.borrow();
-        let (windows, knows_time) = (used.windows(windows), used.clock().is_some());
-        drop(used);
+        let usage = self.entry.usage.borrow();
+        let (windows, knows_time) = (usage.windows(windows), usage.clock().is_some());
+        drop(usage);
         UsageReport {
             at: knows_time.then_some(now),
             windows,
@@ -450,34 +468,35 @@
         }
     }
 
-    /// Microseconds of this box's steady clock, from any fixed time on.
-    fn steady_us(&self) -> u64 {
+    /// Microseconds of this box's monotonic clock, from an arbitrary origin.
+    fn monotonic_us(&self) -> u64 {
         self.entry.uptime().as_micros() as u64
     }
 
-    /// Estimates the cluster's time as in the middle of the exchange; the shortest round trip of
-    /// late gives the best estimate.
-    fn learn_time(&self, sent_us: u64, time_us: u64) {
+    /// Estimates the cluster time, assuming that the control box's time is that of the middle of
+    /// the exchange. Among recent exchanges the one with the shortest round trip gives the best
+    /// estimate.
+    fn record_time_sample(&self, sent_us: u64, time_us: u64) {
         let now = clock::now();
-        let round_trip = Duration::from_micros(self.steady_us().saturating_sub(sent_us));
-        if let Some((best, at)) = self.clock_from.get()
+        let round_trip = Duration::from_micros(self.monotonic_us().saturating_sub(sent_us));
+        if let Some((best, at)) = self.clock_sample.get()
             && round_trip > best
-            && now.saturating_duration_since(at) < CLOCK_KEPT
+            && now.saturating_duration_since(at) < CLOCK_SAMPLE_MAX_AGE
         {
             return;
         }
-        self.clock_from.set(Some((round_trip, now)));
+        self.clock_sample.set(Some((round_trip, now)));
         let clock = ClusterTime::new(now, Duration::from_micros(time_us) + round_trip / 2);
         let before = self.entry.usage.borrow().clock();
         let step = before.map_or(Duration::ZERO, |before| {
             before.since_epoch(now).abs_diff(clock.since_epoch(now))
         });
-        if step > CLOCK_STEP {
+        if step > CLOCK_STEP_THRESHOLD {
             Line::new("cluster_time_stepped").with("by_ms", step.as_millis()).warn();
         }
         self.entry.usage.borrow_mut().set_clock(clock, self.settings.window);
         if before.is_none() {
-            // Only reports with a time let this box count among those that share quotas.
+            // Only reports that contain a time make this box count among those that share quotas.
             self.send_to_all(FromEntry::Usage(self.report(true)));
         }
     }
--- a/crates/vaneway-server/src/core/cluster/marks.rs
+++ b/crates/vaneway-server/src/core/cluster/marks.rs
@@ -1,10 +1,10 @@
-//! Leaving marks between the entry boxes of a deployment.
+//! Marks of leaving instances, exchanged between the entry boxes of a deployment.
 //!
-//! Data flow: what this box learns of a leaving endpoint goes through [`learn`] to its peers; what
-//! peers send arrives in [`receive`]; [`compare`] repairs what was lost; [`catch_up`] asks the peers
-//! before this box serves. A datagram without the right tag or sender is dropped and counted.
-//! Answers go to the address that the settings name for the sender, not to where the datagram
-//! came from.
+//! Data flow: [`publish`] sends what this box learns of a leaving instance to its peers;
+//! [`receive`] handles what peers send; [`exchange_digests`] repairs losses; [`catch_up`] requests
+//! the peers' marks before this box serves. A datagram without a valid tag or a known sender is
+//! dropped and counted. Replies are sent to the address in the settings for the sender, not to the
+//! source address of the datagram.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,26 +23,26 @@
 use crate::core::entry::Entry;
 use crate::util::clock;
 
-/// Largest datagram that is read.
+/// Largest datagram that is received, in bytes.
 const DATAGRAM_BYTES: usize = 2_048;
 
-/// How long a box that starts waits for a peer's marks before it serves without them.
-const HELLO_WITHIN: Duration = Duration::from_millis(300);
+/// How long a starting box waits for a peer's marks before it serves without them.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Asks the peers for their marks and waits a little for the first answer, so that a box which
-/// was down when a notice came does not send work to a leaving endpoint.
+/// Requests the peers' marks and waits briefly for the first answer, so that a box which was down
+/// when a notice arrived doesn't send requests to a leaving endpoint.
 pub async fn catch_up(entry: &Rc<Entry>) {
     let Some(cluster) = &entry.cluster else { return };
     let (tx, rx) = oneshot::channel();
-    *cluster.first.borrow_mut() = Some(tx);
+    *cluster.first_marks.borrow_mut() = Some(tx);
     let mut actions = Vec::new();
     cluster.marks.borrow_mut().start(&mut actions);
     carry_out(entry, actions).await;
-    entry.timers.timeout_at(clock::now() + HELLO_WITHIN, rx).await;
+    entry.timers.timeout_at(clock::now() + CATCH_UP_TIMEOUT, rx).await;
 }
 
-/// Tells the peers of a mark that this box learned of.
-pub fn learn(entry: &Rc<Entry>, instance: &Instance, gone_at: Instant) {
+/// Sends a mark that this box learned of to the peers.
+pub fn publish(entry: &Rc<Entry>, instance: &Instance, gone_at: Instant) {
     let Some(cluster) = &entry.cluster else { return };
     let mut actions = Vec::new();
     cluster.marks.borrow_mut().record(clock::now(), instance, gone_at, &mut actions);
@@ -76,15 +76,15 @@
         let now = clock::now();
         cluster.marks.borrow_mut().handle(now, from, envelope.message, &mut actions);
         carry_out(&entry, actions).await;
-        if pushed && let Some(first) = cluster.first.borrow_mut().take() {
+        if pushed && let Some(first_marks) = cluster.first_marks.borrow_mut().take() {
             // The box may have stopped waiting.
-            let _late = first.send(());
+            let _late = first_marks.send(());
         }
     }
 }
 
-/// Compares with a few peers at every tick until dropped.
-pub async fn compare(entry: Rc<Entry>) {
+/// Exchanges digests with a few peers at every tick until dropped.
+pub async fn exchange_digests(entry: Rc<Entry>) {
     let Some(cluster) = &entry.cluster else { return };
     loop {
         entry.timers.sleep(TICK_INTERVAL).await;
@@ -98,14 +98,14 @@
     let Some(cluster) = &entry.cluster else { return };
     for action in actions {
         match action {
-            Action::Apply { instance, gone_at } => entry.mark(&instance, gone_at),
+            Action::Apply { instance, gone_at } => entry.mark_leaving(&instance, gone_at),
             Action::Send { to, message } => {
                 let envelope = Envelope { from: entry.settings.name.clone(), message };
                 let datagram = seal(&cluster.key, &envelope);
                 let to = entry.settings.peers[to].address;
                 let BufResult(sent, _datagram) = cluster.socket.send_to(datagram, to).await;
                 if let Err(error) = sent {
-                    // A lost datagram; the next comparison makes up for it.
+                    // The datagram counts as lost, which the next comparison repairs.
                     log::debug!("event=datagram_not_sent to={to} error={error:?}");
                 }
             }
--- a/crates/vaneway-server/src/core/cluster/mod.rs
+++ b/crates/vaneway-server/src/core/cluster/mod.rs
@@ -1,13 +1,14 @@
-//! What the boxes of a deployment tell each other.
+//! Communication between the boxes of a deployment.
 //!
-//! - [`marks`] and [`datagram`]: leaving marks between entry boxes that their settings list;
+//! - [`marks`] and [`datagram`]: marks of leaving instances, between entry boxes that are listed in
+//!   their settings;
 //! - [`wire`]: the messages between entry and control boxes;
-//! - [`reconnect`]: connections to other boxes that are opened again whenever they break;
-//! - [`follow`]: how an entry box follows the control boxes, over `control_link`;
-//! - [`advertised_control_boxes`]: which control boxes it follows;
-//! - [`configuration_source`]: which of them it asks for a configuration;
-//! - [`publishers`]: which of them tell it what the others use;
-//! - [`work_at_endpoints`]: what it tells and learns of the work at endpoints.
+//! - [`reconnect`]: connections to other boxes that are reopened whenever they break;
+//! - [`follow`]: an entry box's communication with the control boxes, over `control_link`;
+//! - [`advertised_control_boxes`]: to which control boxes it connects;
+//! - [`configuration_source`]: from which of them it requests a configuration;
+//! - [`publishers`]: which of them send it the usage of the other entry boxes;
+//! - [`work_at_endpoints`]: its reports and updates of the load at endpoints.
 
 pub mod advertised_control_boxes;
 pub mod configuration_source;
--- a/crates/vaneway-server/src/core/cluster/wire.rs
+++ b/crates/vaneway-server/src/core/cluster/wire.rs
@@ -1,11 +1,12 @@
 //! The messages between entry and control boxes, over TCP in `postcard`.
 //!
-//! An entry box opens a connection to every control box that it knows and says who it is; so does
-//! every control box. Whatever is lost with a connection is sent whole again over the next one:
-//! configuration and registry are values of which only the newest counts, and the agreement sends
-//! again by itself.
+//! An entry box opens a connection to every known control box and identifies itself; so does every
+//! control box. Everything that is lost with a connection is sent in full over the next one: of
+//! configuration and registry only the newest value counts, and the consensus protocol retransmits
+//! by itself.
 //!
-//! Configurations are offered by their versions by all control boxes, and asked for at one.
+//! All control boxes announce the version of the configuration, which is then requested from one of
+//! them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,109 +28,119 @@
 use crate::core::usage::UsageReport;
 use crate::util::send_queue::Topic;
 
-/// Time between two tellings of what requests used, in either direction. With one from the entry box and one from
-/// the control box, and the time on the way, it must stay well below the age up to which quotas go by the use
-/// of all boxes.
+/// Time between two usage reports, and between two usage updates. The age of the usage that an
+/// entry box receives is one interval of each plus network delay, and must stay well below the age
+/// up to which quotas are based on the usage of all boxes.
 pub const USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two tellings of what is open at endpoints, in either direction. An endpoint serves a request
-/// every 20 to 200 ms, so that older news sends too many boxes to the same one (docs/DECISIONS.md,
+/// Time between two load reports, and between two load updates. An endpoint serves a request every
+/// 20 to 200 ms, so with older data too many boxes would choose the same one (docs/DECISIONS.md,
 /// "Telling").
 pub const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Tellings of loads after which all are told, for whoever missed some.
+/// Every how many load updates a full one is sent, for boxes that missed some.
 pub const LOAD_REPORTS_PER_FULL: u64 = 20;
 
-/// Slots of quotas that each telling repeats.
+/// Number of quota slots that each report repeats.
 pub const SLOTS_PER_REPORT: u64 = 2;
 
-/// Accounting windows that each telling repeats: the present one, and the one before, whose last requests
-/// may have begun since the last telling.
+/// Number of accounting windows that each report repeats: the present one, and the one before,
+/// whose last requests may have started after the previous report.
 pub const WINDOWS_PER_REPORT: usize = 2;
 
-/// Tellings after which all slots and windows are repeated, for whoever missed some.
+/// Every how many usage reports all retained slots and windows are repeated, for boxes that missed
+/// some.
 pub const USAGE_REPORTS_PER_FULL: u64 = 18;
 
-/// Time between two signs of life on a connection.
+/// Time between two pings on a connection.
 pub const PING_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Silence after which a connection counts as broken: of the other box's system, which answers for it while its
-/// process is busy, and of another control box, whose signs of life go before all else.
+/// Time without a sign of the other box's operating system after which a connection counts as
+/// broken.
+///
+/// The operating system answers while the box's process is busy. Also used for the process of
+/// another control box, whose pings take precedence over everything else.
 pub const HOST_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Silence of a process after which a connection between an entry and a control box counts as broken. While its
-/// system answers, it is busy: who goes and comes again only gives it more to do. Long enough for a
-/// control box with 0.06 of a core to take in 300 entry boxes.
+/// Time without a message from the other process after which a connection between an entry and a
+/// control box counts as broken. While its operating system answers, the process is busy, and
+/// reconnecting would only add to its work. Long enough for a control box with 0.06 of a core to
+/// admit 300 entry boxes.
 pub const PROCESS_SILENCE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Age of a ping without an answer from which on an entry box tells a control box no more until the answer
-/// comes: what it has told is not taken in yet, and what it would tell now is told later with newer
-/// figures. So a control box is told as much as it can take in.
-pub const BEHIND_AFTER: Duration = Duration::from_millis(500);
+/// Age of an unanswered ping from which on an entry box sends no reports to a control box until the
+/// answer arrives: the control box has not processed the earlier ones, and what is skipped is sent
+/// later with newer values. So the control box is sent only as much as it can process.
+pub const UNANSWERED_PING_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// Longest wait for a connection to open: one round trip between regions. A box without power
-/// answers nothing, and when it is back the next try must not be far.
+/// Timeout for opening a connection: one round trip between regions. A box without power answers
+/// nothing, and once it is back the next attempt must follow soon.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Pause before a connection that broke is opened again.
-pub const RECONNECT_AFTER: Duration = Duration::from_millis(75);
+/// Delay before a broken connection is reopened.
+pub const RECONNECT_DELAY: Duration = Duration::from_millis(75);
 
-/// The configuration, or a change of it, for an entry box.
+/// For an entry box: the configuration, or a change of it.
 pub const CONFIGURATION_TOPIC: Topic = Topic(0);
 
-/// The version of the configuration that is agreed on, for an entry box.
+/// For an entry box: the version of the committed configuration.
 pub const CONFIGURATION_VERSION_TOPIC: Topic = Topic(1);
 
-/// Entries of the agreement for another control box: each message has all that the one before it had.
+/// For another control box: entries of the Raft log. Each message contains everything that the one
+/// before it did.
 pub const LOG_ENTRIES_TOPIC: Topic = Topic(2);
 
-/// A snapshot of the agreement for another control box. Apart from entries, since heartbeats follow it.
+/// For another control box: a snapshot of the Raft state. Separate from entries, since heartbeats
+/// follow it.
 pub const SNAPSHOT_TOPIC: Topic = Topic(3);
 
 /// A message of an entry box to a control box.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum FromEntry {
-    /// Who I am; the first message, and the only one until the control box has answered with
-    /// [`ToEntry::Hello`].
+    /// Identifies the entry box. The first message, and the only one until the control box has
+    /// replied with [`ToEntry::Hello`].
     Hello {
-        /// The box's name.
+        /// Name of the box.
         name: String,
-        /// A number that no earlier start of this box had.
+        /// A number that no earlier incarnation of this box had.
         boot: u64,
-        /// Version of the configuration that I have; 0 if none.
+        /// Version of the configuration that the box has; 0 if none.
         configuration: u64,
-        /// Entry boxes that there may be, as I was last told; 0 if I never was.
+        /// Number of entry boxes that may be running, by the latest update; 0 if there was none.
         known: u32,
     },
-    /// I am there.
+    /// Keep-alive.
     Ping {
-        /// When this was sent, in microseconds of the sender's steady clock.
+        /// When this was sent, in microseconds of the sender's monotonic clock.
         sent_us: u64,
     },
-    /// Endpoints that I know to be leaving or gone. A control box that was started anew may not
-    /// know, and would take a late heartbeat for a new endpoint.
+    /// Endpoints that the entry box knows to be leaving or gone. A control box that has restarted
+    /// may not know them, and would take a late heartbeat for a new endpoint.
     Leaving(Vec<Report>),
-    /// What my requests used.
+    /// Usage report.
     Usage(UsageReport),
-    /// What I have open now at the endpoints where it changed since I last told; [`FromEntry::Usage`] tells
-    /// all of it now and then.
+    /// Load at the endpoints where it changed since the last report; a full [`FromEntry::Usage`]
+    /// contains all of it.
     Loads(Loads),
-    /// Prompt parts that my requests brought to endpoints.
+    /// Prompt parts that the entry box's requests brought to endpoints.
     Parts(CachedParts),
-    /// I stop as planned, and what I told before is all that my requests will have used.
+    /// The entry box performs a planned stop, and its reports so far contain all the usage of its
+    /// requests.
     Done,
-    /// What I want to be told of the other entry boxes; nothing until I say so.
+    /// Selects what the entry box is sent about the other entry boxes; nothing until it sends this.
     Subscribe(Wanted),
-    /// Requests under which endpoints ended, as far as it is news.
+    /// Requests that were running when endpoints crashed, as far as not reported yet.
     QuarantineRecords(Vec<QuarantineRecord>),
-    /// Limits that endpoints named in answers to me, as far as it is news.
+    /// Limits that endpoints advertised to the entry box, as far as not reported yet.
     Limits(Vec<EndpointLimit>),
-    /// Tell me which version of the configuration is agreed on, now and whenever it changes. Who doesn't say so before its first
-    /// ping is told the configurations themselves.
+    /// Subscribes to the version of the committed configuration, now and whenever it changes. An
+    /// entry box that doesn't send this before its first ping is sent the configurations
+    /// themselves.
     OfferConfigurations,
-    /// Send me the configuration that is agreed on, or how it differs from the version that I have; 0 for all of it.
+    /// Requests the committed configuration, or its difference from the version that the entry box
+    /// has.
     RequestConfiguration {
-        /// The version.
+        /// The version that the entry box has; 0 requests the complete configuration.
         have: Version,
     },
 }
@@ -137,115 +148,117 @@
 /// A message of a control box to an entry box.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToEntry {
-    /// Who I am, and that I have taken you in; the first message.
+    /// Identifies the control box, which has admitted the entry box. The first message.
     Hello {
-        /// The availability zone in which the control box stands.
+        /// Availability zone of the control box.
         availability_zone: String,
     },
     /// Answer to [`FromEntry::Ping`].
     Pong {
-        /// The ping's own time.
+        /// The time in the ping.
         sent_us: u64,
-        /// The cluster's time since 1970, in microseconds; none while the control box doesn't know it.
+        /// The cluster time since 1970, in microseconds; none while the control box doesn't know
+        /// it.
         time_us: Option<u64>,
     },
-    /// A configuration that is agreed on.
+    /// The committed configuration.
     Configuration(Configuration),
-    /// News of endpoints.
+    /// Updates of endpoints.
     Registry(Vec<Report>),
     /// Endpoints that were ready before all boxes went down.
     Remembered {
         /// The endpoints.
         endpoints: Vec<Report>,
-        /// Milliseconds in which they count unless they are heard of.
+        /// Milliseconds for which they are used unless they report.
         left_ms: u64,
     },
-    /// The control boxes, by the addresses for other boxes.
+    /// The control boxes, by their addresses for other boxes.
     ControlBoxes(Vec<SocketAddr>),
-    /// What the other entry boxes use, as this control box knows.
+    /// Usage of the other entry boxes, as this control box knows it.
     OthersUsage {
-        /// The cluster's time until which the use of all boxes that are heard is in this; none if this control
-        /// box can't tell, or the receiver isn't among them.
+        /// The cluster time up to which this contains the usage of all reporting boxes; none if the
+        /// control box can't tell, or if the receiver isn't among them.
         as_of: Option<Duration>,
-        /// Entry boxes whose use this control box hears.
+        /// Number of entry boxes that are reporting to this control box.
         reporting: u32,
-        /// Entry boxes that may be there, also those that it lost lately.
+        /// Number of entry boxes that may be running, including those that were lost recently.
         known: u32,
-        /// Use by organisation.
+        /// Usage by organisation.
         quotas: Vec<(String, OthersQuotaUsage)>,
     },
-    /// What all entry boxes have open at endpoints, the receiver among them: the same bytes for all of
-    /// them.
+    /// Load of all entry boxes at endpoints, including the receiver's own, so that all of them are
+    /// sent the same bytes.
     Loads {
-        /// Whether these are all endpoints with anything open, or those where it changed.
+        /// Whether these are all endpoints with any load, or only those where it changed.
         whole: bool,
-        /// The endpoints.
+        /// The loads.
         loads: Loads,
     },
     /// Prompt parts that requests of any entry box brought to endpoints.
     Parts(CachedParts),
-    /// Requests under which endpoints ended, at any entry box.
+    /// Requests that were running when endpoints crashed, from any entry box.
     QuarantineRecords(Vec<QuarantineRecord>),
-    /// Limits that endpoints named in answers to any entry box.
+    /// Limits that endpoints advertised to any entry box.
     Limits(Vec<EndpointLimit>),
-    /// Which of the entry boxes that share the limits of endpoints you are.
+    /// The receiver's number among the entry boxes that share the limits of endpoints.
     BoxNumber(BoxNumber),
-    /// This version of the configuration is agreed on; the answer to [`FromEntry::OfferConfigurations`].
+    /// The version of the committed configuration; the answer to
+    /// [`FromEntry::OfferConfigurations`].
     ConfigurationAgreed {
         /// The version.
         version: Version,
     },
-    /// How the configuration that is agreed on differs from the one that you have.
+    /// The difference of the committed configuration from the one that the receiver has.
     ConfigurationChange(ConfigurationChange),
 }
 
-/// What an entry box wants to be told of the others.
+/// What an entry box subscribes to.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wanted {
-    /// What they took of quotas, and how many they are.
+    /// Usage of quotas, and the number of entry boxes.
     pub quotas: bool,
-    /// What they have open at endpoints, and the prompt parts that they brought there.
+    /// Load at endpoints, and the prompt parts that were brought there.
     pub loads: bool,
 }
 
 /// A message between control boxes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum BetweenControl {
-    /// Who I am; the first message.
+    /// Identifies the sender; the first message.
     Hello {
-        /// The sender's node.
+        /// Node id of the sender.
         node: NodeId,
     },
-    /// I am there, and this is my time of day.
+    /// Keep-alive with the sender's time of day.
     Ping {
         /// Microseconds since 1970 by the sender's clock.
         time_us: u64,
-        /// The same by the cluster's time as the sender keeps it, once it does.
+        /// Microseconds since 1970 of the cluster time, once the sender has established it.
         kept_us: Option<u64>,
     },
-    /// A message of the agreement.
+    /// A message of the consensus protocol.
     Agreement {
-        /// The node that it is meant for. A box that lost its disk is another node now, for which
-        /// messages to the one before mean nothing.
+        /// The node that it is meant for. A box that lost its disk is a new node, to which messages
+        /// for the previous one must not be delivered.
         to: NodeId,
         /// The message.
         message: vaneway_agreement::Message,
     },
-    /// A node has no part in the agreement, or hears no leader: let it join. Who gets this from the node itself
-    /// tells the leader, which the node may not know.
+    /// A node is not a member of the Raft group, or has no leader: add it. A box that receives this
+    /// from the node itself forwards it to the leader, which the node may not know.
     Join {
         /// The node.
         node: NodeId,
     },
-    /// News of endpoints.
+    /// Updates of endpoints.
     Registry(Vec<Report>),
-    /// Requests under which endpoints ended, as far as it is news.
+    /// Requests that were running when endpoints crashed, as far as not sent yet.
     QuarantineRecords(Vec<QuarantineRecord>),
-    /// Limits that endpoints named, as far as it is news.
+    /// Limits that endpoints advertised, as far as not sent yet.
     Limits(Vec<EndpointLimit>),
 }
 
-/// Any first or later message that a control box gets on a connection.
+/// Any message to a control box.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToControl {
     /// From an entry box.
--- a/crates/vaneway-server/src/core/cluster/work_at_endpoints.rs
+++ b/crates/vaneway-server/src/core/cluster/work_at_endpoints.rs
@@ -1,4 +1,4 @@
-//! What an entry box tells of its work at registered endpoints, and what it learns of all boxes' work there.
+//! Reports of this entry box's load at registered endpoints, and updates of all boxes' load there.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use crate::core::loads::Loads;
 use crate::util::clock;
 
-/// What this box has open at each registered endpoint that has anything.
+/// This box's load at each registered endpoint where it has any.
 pub fn open_loads(entry: &Entry) -> Loads {
     let pool = entry.pool.borrow();
     let registered = entry.registered.borrow();
@@ -23,9 +23,9 @@
     loads.filter(|(_, load)| *load != Load::default()).collect()
 }
 
-/// Learns what all entry boxes have open at some endpoints, or at all if `whole`; `own` is what this
-/// box told of its part.
-pub fn learn_loads(
+/// Applies the load of all entry boxes at some endpoints, or at all of them if `whole`; `own` is
+/// this box's load as last reported.
+pub fn apply_loads(
     entry: &Entry,
     whole: bool,
     loads: &[(InstanceId, Load)],
@@ -42,7 +42,7 @@
     for (instance, load) in loads {
         let Some(endpoint) = registered.get(instance) else { continue };
         let own = own.get(instance).copied().unwrap_or_default();
-        // What this box told last may not be in the sum yet.
+        // The sum may not yet contain what this box reported last.
         let others = Load {
             requests: load.requests.saturating_sub(own.requests),
             tokens: load.tokens.saturating_sub(own.tokens),
@@ -51,12 +51,13 @@
     }
 }
 
-/// Prompt parts that requests of this box brought to registered endpoints, where that is news.
-pub fn take_brought(entry: &Entry) -> CachedParts {
+/// Returns the prompt parts that this box's requests brought to registered endpoints, as far as not
+/// reported yet.
+pub fn take_new_parts(entry: &Entry) -> CachedParts {
     let mut pool = entry.pool.borrow_mut();
     let mut parts = BTreeMap::<InstanceId, Vec<PartId>>::new();
     for (endpoint, part) in pool.take_new_parts() {
-        // An endpoint from the registry is named by its instance.
+        // The spec of an endpoint from the registry has the instance's id as its name.
         let instance = &pool.get(endpoint).spec.name;
         if entry.registered.borrow().contains_key(instance) {
             parts.entry(instance.clone()).or_default().push(part);
@@ -65,8 +66,8 @@
     parts.into_iter().collect()
 }
 
-/// Learns which prompt parts requests of any box brought to endpoints.
-pub fn learn_parts(entry: &Entry, parts: &[(InstanceId, Vec<PartId>)]) {
+/// Applies the prompt parts that requests of any box brought to endpoints.
+pub fn apply_parts(entry: &Entry, parts: &[(InstanceId, Vec<PartId>)]) {
     let now = clock::now();
     let mut pool = entry.pool.borrow_mut();
     let registered = entry.registered.borrow();
--- a/crates/vaneway-server/src/core/cluster_time.rs
+++ b/crates/vaneway-server/src/core/cluster_time.rs
@@ -1,4 +1,4 @@
-//! The cluster's time, and the windows and slots into which it is cut.
+//! Cluster time, and the accounting windows and quota slots into which it is divided.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,10 +8,10 @@
 /// Number of an accounting window since 1970.
 pub type Window = u64;
 
-/// Windows and slots that another box's time may be ahead.
-pub(super) const AHEAD_MOST: u64 = 1;
+/// Number of windows or slots by which another box's time may be ahead.
+pub(super) const MAX_AHEAD: u64 = 1;
 
-/// The cluster's time: true time as the control boxes agree on it, against this box's steady
+/// Cluster time: the time of day that the control boxes agree on, relative to this box's monotonic
 /// clock, which no step of the time of day changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClusterTime {
@@ -20,7 +20,7 @@
 }
 
 impl ClusterTime {
-    /// At `at` it was `since_epoch` since 1970.
+    /// A clock that shows the time `since_epoch` since 1970 at `at`.
     pub fn new(at: Instant, since_epoch: Duration) -> Self {
         Self { at, since_epoch }
     }
@@ -34,19 +34,19 @@
         }
     }
 
-    /// The window that `now` falls into.
+    /// The window that contains `now`, for windows of the given length.
     pub fn window(&self, now: Instant, length: Duration) -> Window {
         (self.since_epoch(now).as_millis() / length.as_millis().max(1)) as Window
     }
 }
 
-/// Where the cluster's time stands.
+/// A cluster time, with the window and the slot that contain it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClusterNow {
     /// The time since 1970.
     pub time: Duration,
     /// The accounting window.
     pub window: Window,
-    /// The slot of quotas.
+    /// The quota slot.
     pub slot: Slot,
 }
--- a/crates/vaneway-server/src/core/configuration.rs
+++ b/crates/vaneway-server/src/core/configuration.rs
@@ -1,13 +1,13 @@
-//! The configuration that operators give to a running deployment: services, routes,
-//! organisations, and limits on callers.
+//! The configuration of a running deployment: services, routes, organisations, and limits on
+//! callers.
 //!
-//! Why a type of its own besides the settings: settings belong to one process and are read at its
-//! start; the configuration belongs to the deployment, has a version, is agreed on by the control
-//! boxes and is in force at every entry box within seconds.
+//! It is separate from the settings, which belong to one process and are read when it starts: the
+//! configuration belongs to the deployment, has a version, is agreed on by the control boxes and is
+//! in force at every entry box within seconds.
 //!
-//! Data flow: an operators' interface decodes a document into a [`Configuration`]; [`check`] finds
-//! everything that is wrong with it; the control boxes agree on it; entry boxes look requests up
-//! in a [`RouteTable`](crate::core::route_table::RouteTable) made of it.
+//! Data flow: an operators' interface decodes a document into a [`Configuration`]; [`check`]
+//! reports all errors in it; the control boxes agree on it; entry boxes look requests up in a
+//! [`RouteTable`](crate::core::route_table::RouteTable) built from it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,34 +18,34 @@
 
 use crate::util::findings::Findings;
 
-/// Number of a configuration; the highest one is in force.
+/// Version number of a configuration; the highest one is in force.
 pub type Version = u64;
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Its number.
+    /// Version number.
     pub version: Version,
-    /// Where requests go, in no order.
+    /// Routes, in no particular order.
     pub routes: Vec<Route>,
-    /// What they go to.
+    /// Services that routes refer to.
     pub services: Vec<ServiceSpec>,
-    /// Limits on what callers send.
+    /// Limits on callers.
     pub limits: CallerLimits,
-    /// Who may call; empty if everyone may.
+    /// Organisations that may call; empty if anyone may.
     pub organisations: Vec<OrganisationSpec>,
 }
 
-/// What may be repeated of a route's requests, and what their answers look like.
+/// Whether a route's requests may be repeated, and the form of their responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestKind {
     /// May run more than once.
     Repeatable,
     /// Runs at most once.
     AtMostOnce,
-    /// Answers with a stream of numbered events.
+    /// Responds with a stream of numbered events.
     Stream {
-        /// Whether another endpoint may go on with a stream that broke off.
+        /// Whether another endpoint can resume a stream that broke off.
         resumable: bool,
     },
 }
@@ -57,98 +57,99 @@
     }
 }
 
-/// Which requests go where, and how.
+/// Selects requests by host and path, and defines how they are handled.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// The host that callers name.
+    /// Host name in the request.
     pub host: String,
-    /// What the path begins with; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What its requests are.
+    /// Whether its requests may be repeated, and the form of their responses.
     pub kind: RequestKind,
-    /// How long a request may be held.
+    /// Longest time that a request may stay open.
     pub timeout: Duration,
-    /// Time within which an answer, or a stream's first event, is of full use.
+    /// Latency objective: the time within which a response, or a stream's first event, should
+    /// arrive.
     pub objective: Duration,
-    /// Longest pause between two events of a stream that is of full use.
+    /// Objective for the longest gap between two events of a stream.
     pub pause_objective: Option<Duration>,
-    /// Its rank; 0 goes first.
+    /// Priority of its requests; 0 is the highest.
     pub priority: u32,
     /// The services that share its requests, by weight.
     pub targets: Vec<Target>,
-    /// Most endpoints that one request may be sent to.
+    /// Largest number of endpoints that a request may be sent to.
     pub max_attempts: u32,
     /// Whether callers need no key.
     pub public: bool,
-    /// Whether requests with a shared beginning should meet again at one endpoint.
+    /// Whether requests with a common prompt prefix should be sent to the same endpoint.
     pub affine: bool,
 }
 
 /// One of the services behind a route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
     /// Its weight among the route's targets.
     pub weight: u64,
 }
 
-/// A service behind routes.
+/// A service that routes refer to.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
     /// Path of its health check.
     pub health_path: String,
-    /// Connections that one endpoint takes from all boxes together.
+    /// Number of connections that one endpoint accepts from all boxes together.
     pub max_connections: u32,
-    /// Figures of the model engine, if its endpoints are such.
+    /// Properties of the model engine, if its endpoints run one.
     pub engine: Option<EngineSpec>,
-    /// What may be ordered of the cloud for it, if anything.
+    /// What may be ordered from the cloud for it, if anything.
     pub capacity: Option<CapacitySpec>,
 }
 
-/// Figures of a model engine.
+/// Properties of a model engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Number of tokens that its memory holds.
     pub memory_tokens: u64,
-    /// Whether a running request's memory can be moved to another endpoint.
+    /// Whether a running request's state can be moved to another endpoint.
     pub moves: bool,
-    /// How long a copy of a request's memory is kept.
+    /// How long a copy of a request's state is kept.
     pub copy_kept: Duration,
 }
 
-/// What may be ordered of the cloud for a service.
+/// What may be ordered from the cloud for a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CapacitySpec {
     /// Fewest replicas in an availability zone.
     pub least: u32,
-    /// Most replicas in an availability zone, of both kinds together.
+    /// Most replicas in an availability zone, reclaimable and on-demand ones together.
     pub most: u32,
-    /// Time from an order to its first work.
+    /// Time from an order until the replica does its first work.
     pub start_takes: Duration,
-    /// Price of a reclaimable replica as a part of an on-demand one's.
+    /// Price of a reclaimable replica as a fraction of the on-demand price.
     pub reclaimable_price: f64,
-    /// Price of a replica's second by availability zone.
+    /// Price of a replica per second, by availability zone.
     pub prices: BTreeMap<String, f64>,
 }
 
-/// Limits on what callers send and how long they may take or rest.
+/// Limits on the size of callers' requests and on the time that callers may take or stay idle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Most bytes of a request's head.
+    /// Largest request head, in bytes.
     pub header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Largest request body, in bytes.
     pub body_bytes: usize,
-    /// How long a request's head may take from its first byte.
+    /// Time allowed for a request head, from its first byte.
     #[serde(rename = "header_within")]
     pub header_timeout: Duration,
-    /// How long a connection may rest between requests.
+    /// How long a connection may be idle between requests.
     #[serde(rename = "idle_within")]
     pub idle_timeout: Duration,
 }
@@ -164,36 +165,36 @@
     }
 }
 
-/// What an organisation's quota counts.
+/// What is charged to an organisation's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaUnit {
-    /// Each request counts one.
+    /// One unit for each request.
     Requests,
-    /// Each request counts its tokens.
+    /// The tokens of each request.
     Tokens {
-        /// What a request without tokens counts.
+        /// Units for a request that has no tokens.
         plain: u64,
     },
 }
 
-/// Who may call, and how much.
+/// An organisation that may call, with its quota.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OrganisationSpec {
-    /// Its name.
+    /// Name of the organisation.
     pub name: String,
-    /// The keys that its callers hold.
+    /// The keys that identify its callers.
     pub keys: BTreeSet<String>,
-    /// Its rank, which goes before the route's; 0 goes first.
+    /// Priority of its requests, in place of the route's; 0 is the highest.
     pub priority: Option<u32>,
-    /// What its quota counts.
+    /// What is charged to its quota.
     pub unit: QuotaUnit,
-    /// Units a second over all entry boxes; none if unlimited.
+    /// Units per second over all entry boxes; none if unlimited.
     pub rate: Option<f64>,
-    /// Units on top.
+    /// Units that may be taken at once in addition to the rate.
     pub burst: f64,
 }
 
-/// Finds everything that is wrong with a configuration, with its place in it.
+/// Reports all errors in a configuration, each with its path.
 pub fn check(configuration: &Configuration, findings: &Findings) {
     let services: BTreeSet<&str> = configuration.services.iter().map(|s| s.name.as_str()).collect();
     let mut places = BTreeMap::new();
@@ -234,7 +235,7 @@
     for (i, organisation) in configuration.organisations.iter().enumerate() {
         for key in &organisation.keys {
             if let Some(first) = keys.insert(key.as_str(), i) {
-                let message = format!("one of its keys belongs to $.organisations[{first}] too");
+                let message = format!("one of its keys is also in $.organisations[{first}]");
                 findings.report(format!("$.organisations[{i}].keys"), message);
             }
         }
@@ -242,7 +243,7 @@
 }
 
 impl Route {
-    /// The service for a request, by weight; `draw` is spread evenly over all numbers.
+    /// Picks the service for a request by weight; `draw` is uniformly distributed over all numbers.
     pub fn pick(&self, draw: u64) -> Option<&str> {
         let total: u64 = self.targets.iter().map(|target| target.weight).sum();
         let mut left = draw.checked_rem(total)?;
--- a/crates/vaneway-server/src/core/entry.rs
+++ b/crates/vaneway-server/src/core/entry.rs
@@ -1,7 +1,7 @@
-//! The state that all tasks of an entry share.
+//! The state that all tasks of an entry box share.
 //!
-//! Everything here belongs to the loop's one thread. Tasks hold the state by reference count; what
-//! one of them learns of an endpoint reaches the open requests through [`Entry::update_pool`].
+//! All of it belongs to the event loop's single thread. Tasks hold it by reference count; what one
+//! of them observes of an endpoint reaches the open requests through [`Entry::update_pool`].
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -52,26 +52,27 @@
 use crate::util::logline::Line;
 use crate::util::timers::Timers;
 
-/// Retries that a service's budget holds at most, so that a quiet service can still retry.
+/// Most retries that a service's budget accumulates, so that a service with few requests can still
+/// retry.
 const RETRY_RESERVE: u32 = 20;
 
-/// Part of the retries that operators allow which is used; attempts of boxes that died are not
-/// known to those that are started anew.
-const RETRY_PART: f64 = 0.75;
+/// Share of the retries allowed by the operators that is used. The rest covers the attempts of
+/// boxes that crashed, which their next incarnations do not know.
+const RETRY_SHARE: f64 = 0.75;
 
-/// Whether the entry takes work.
+/// Whether the entry box accepts requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// Ready.
     Serving,
-    /// Not ready, but still takes what the balancer sends.
+    /// Not ready, but still accepts the requests that the load balancer sends.
     Unready,
-    /// Refuses new work and finishes what runs.
+    /// Refuses new requests and finishes the open ones.
     Finishing,
 }
 
 impl Phase {
-    /// The phase's name in dumps.
+    /// Name of the phase in dumps and logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Serving => "serving",
@@ -81,46 +82,47 @@
     }
 }
 
-/// State that all tasks of an entry share.
+/// State that all tasks of an entry box share.
 #[derive(Debug)]
 pub struct Entry {
     /// Settings of the process.
     pub settings: Settings,
     /// The endpoints.
     pub pool: RefCell<Pool>,
-    /// The endpoints of each box. The platform names boxes, thousands at a time.
+    /// The endpoints of each box, by which the platform's list and notices refer to them, thousands
+    /// at a time.
     boxes: BTreeMap<String, Vec<EndpointId>>,
     /// The retry budget of each service.
     pub budgets: RefCell<Vec<RetryBudget>>,
-    /// Connections to endpoints.
+    /// Connection pool for endpoints.
     pub connections: ConnectionPool,
     /// The timer service.
     pub timers: Timers,
-    /// Requests that are open.
+    /// Open requests.
     pub open: OpenRequests,
-    /// The ledger of claims, where this deployment can keep one.
+    /// The ledger of claims, if this deployment can keep one.
     pub claims: Option<Claims>,
-    /// The way to the other entry boxes, if there are any.
+    /// The socket for the other entry boxes, if there are any.
     pub cluster: Option<Cluster>,
-    /// Counters for operators.
+    /// Metrics for operators.
     pub metrics: Metrics,
-    /// Callers' connections that are open.
+    /// Number of open connections from callers.
     pub caller_connections: Cell<usize>,
-    /// What endpoints have told the control boxes.
+    /// What endpoints have reported to the control boxes.
     pub registry: RefCell<Registry>,
-    /// The endpoints that came from the registry.
+    /// The endpoints from the registry.
     pub registered: RefCell<BTreeMap<InstanceId, EndpointId>>,
-    /// Requests under which endpoints ended.
+    /// Requests that were running when endpoints crashed.
     pub quarantine: RefCell<Quarantine>,
-    /// Limits that endpoints name in their answers.
+    /// Limits that endpoints advertise in their responses.
     pub limits: RefCell<EndpointLimits>,
-    /// Which of the boxes that share these limits this box is, once it knows.
+    /// The number of this box among the boxes that share these limits, once known.
     pub box_number: Cell<Option<BoxNumber>>,
-    /// What the requests of this box counted, for the control boxes.
+    /// Usage by the requests of this box, for the reports to control boxes.
     pub usage: RefCell<LocalUsage>,
     table: RefCell<Option<Rc<RouteTable>>>,
     service_ids: RefCell<BTreeMap<String, ServiceId>>,
-    /// Prompt tokens that callers ask to be read.
+    /// Prompt tokens of arriving requests.
     pub inflow: Inflow,
     /// The quotas of organisations.
     pub quotas: Quotas,
@@ -128,19 +130,20 @@
     started: Instant,
     boot: u64,
     next_id: Cell<u64>,
-    /// Retries of a routed service for each hundred requests, and on top.
+    /// Retry budget of a routed service: retries per hundred requests, and reserve.
     retry_limits: Cell<(u32, u32)>,
 }
 
-/// Retries of one box for each hundred requests, and on top.
+/// One box's share of a service's retry budget: retries per hundred requests, and reserve.
 fn retry_limits(follow: &FollowSettings, known: u32) -> (u32, u32) {
     let allowed = follow.retries;
-    let percent = (allowed.share * RETRY_PART * 100.0) as u32;
-    let reserve = (allowed.slack * RETRY_PART / f64::from(known.max(1))) as u32;
+    let percent = (allowed.share * RETRY_SHARE * 100.0) as u32;
+    let reserve = (allowed.slack * RETRY_SHARE / f64::from(known.max(1))) as u32;
     (percent, reserve.max(1))
 }
 
-/// Which of the entry boxes this box is by its settings; none where control boxes tell.
+/// The number of this box among the entry boxes in its settings; none where control boxes assign
+/// it.
 fn box_number_by_settings(settings: &Settings) -> Option<BoxNumber> {
     if settings.follow.is_some() {
         return None;
@@ -149,32 +152,32 @@
     Some(BoxNumber { number, of: settings.peers.len() as u32 + 1 })
 }
 
-/// Entry boxes that are assumed before any control box has told.
-const ENTRIES_ASSUMED: u32 = 8;
+/// Number of entry boxes that is assumed before the first update of a control box.
+const ASSUMED_ENTRY_BOXES: u32 = 8;
 
-/// What an entry is made of besides its settings.
+/// Components of an entry box besides its settings.
 #[derive(Debug)]
-pub(crate) struct Parts {
+pub(crate) struct Components {
     /// The ledger of claims.
     pub(crate) claims: Option<Claims>,
-    /// The way to the other entry boxes.
+    /// The socket for the other entry boxes.
     pub(crate) cluster: Option<Cluster>,
-    /// A number that no earlier start of this box had.
+    /// A number that no earlier incarnation of this box had.
     pub(crate) boot: u64,
 }
 
 impl Entry {
-    pub(crate) fn new(settings: Settings, timers: Timers, parts: Parts) -> Self {
-        let Parts { claims, cluster, boot } = parts;
+    pub(crate) fn new(settings: Settings, timers: Timers, components: Components) -> Self {
+        let Components { claims, cluster, boot } = components;
         let routing = &settings.routing;
-        // Boxes of the same settings must not all draw the same numbers.
+        // Boxes with the same settings must not draw the same random numbers.
         let seed = hash::of((routing.seed, &settings.name));
         let pool = Pool::new(settings.replicas.clone(), routing.policy, seed);
         let budget = |service: &crate::core::settings::Service| {
             RetryBudget::new(service.retry_percent, RETRY_RESERVE)
         };
         let follow = settings.follow.as_ref();
-        let limits = follow.map_or((0, 0), |follow| retry_limits(follow, ENTRIES_ASSUMED));
+        let limits = follow.map_or((0, 0), |follow| retry_limits(follow, ASSUMED_ENTRY_BOXES));
         let names = settings.services.iter().enumerate();
         let service_ids =
             names.map(|(i, service)| (service.name.clone(), i as ServiceId)).collect();
@@ -212,17 +215,17 @@
         }
     }
 
-    /// Whether the entry takes work.
+    /// Whether the entry box accepts requests.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Whether it takes nothing more and has nothing left to do.
+    /// Whether it accepts no more requests and has none open.
     pub fn is_done(&self) -> bool {
         self.phase() == Phase::Finishing && self.open.is_empty()
     }
 
-    /// An id for a request that no other box and no other start of this box gives.
+    /// An id for a request, unique over all boxes and over all incarnations of this box.
     pub fn request_id(&self, number: u64) -> String {
         format!("{}-{:x}-{number}", self.settings.name, self.boot)
     }
@@ -238,17 +241,18 @@
         clock::elapsed(self.started)
     }
 
-    /// A number that no earlier start of this box had.
+    /// A number that no earlier incarnation of this box had.
     pub fn boot(&self) -> u64 {
         self.boot
     }
 
-    /// Seed of a request's random numbers.
+    /// Seed for a request's random numbers.
     pub fn request_seed(&self, number: u64) -> u64 {
         self.settings.routing.seed.wrapping_add(number)
     }
 
-    /// Chooses an endpoint for a request, as the answer to `Action::Choose`; what the query says of this box is filled in.
+    /// Chooses an endpoint for a request, in response to `Action::Choose`. Fills in what the query
+    /// states about this box.
     pub fn choose(&self, query: Query<'_>) -> Event {
         let home = &self.settings.availability_zone;
         let query = Query { home, sender: self.sender(), ..query };
@@ -261,36 +265,37 @@
         }
     }
 
-    /// What limits that endpoints name leave to this box goes by the cluster's time and its place among the boxes.
+    /// This box's share of the limits that endpoints advertise depends on cluster time and on its
+    /// number.
     fn sender(&self) -> Sender {
         Sender { now: self.cluster_time(), number: self.box_number.get() }
     }
 
-    /// The configuration in force at this box, if it has one.
+    /// The configuration in force at this box, if any.
     pub fn table(&self) -> Option<Rc<RouteTable>> {
         self.table.borrow().clone()
     }
 
-    /// Version of the configuration in force; 0 if none is.
+    /// Version of the configuration in force; 0 if there is none.
     pub fn version(&self) -> Version {
         self.table().map_or(0, |table| table.version())
     }
 
-    /// Puts a configuration in force unless it is not above the one in force.
+    /// Applies a configuration if its version is higher than the one in force.
     pub fn configure(&self, configuration: Configuration) {
         if configuration.version > self.version() {
-            self.put_in_force(RouteTable::new(configuration));
+            self.apply_table(RouteTable::new(configuration));
         }
     }
 
-    /// Puts in force what a change makes of the configuration, unless that is in force already. Returns false if the change
-    /// was not made for the configuration in force.
+    /// Applies a change to the configuration in force, unless the version that results is in force
+    /// already. Returns false if the change doesn't fit the configuration in force.
     pub fn change_configuration(&self, change: &ConfigurationChange) -> bool {
         if self.version() >= change.version {
             return true;
         }
         if let Some(table) = self.table().and_then(|table| table.changed(change)) {
-            self.put_in_force(table);
+            self.apply_table(table);
             return true;
         }
         Line::new("configuration_change_unfit")
@@ -301,7 +306,7 @@
         false
     }
 
-    fn put_in_force(&self, table: RouteTable) {
+    fn apply_table(&self, table: RouteTable) {
         for service in table.services() {
             self.service_id(&service.name);
         }
@@ -315,7 +320,7 @@
         *self.table.borrow_mut() = Some(Rc::new(table));
     }
 
-    /// Limits on callers: the configuration's, or the settings' before there is one.
+    /// Limits on callers: the configuration's, or before the first one the settings'.
     pub fn caller_limits(&self) -> CallerLimits {
         self.table().map_or_else(
             || CallerLimits {
@@ -327,7 +332,7 @@
         )
     }
 
-    /// Position of a service by its name; a name that is new gets the next one.
+    /// The id of a service by its name; a new name is given the next id.
     pub fn service_id(&self, name: &str) -> ServiceId {
         let mut ids = self.service_ids.borrow_mut();
         if let Some(id) = ids.get(name) {
@@ -341,9 +346,10 @@
         id
     }
 
-    /// Learns how many entry boxes share what operators allow of retries: each holds its part
-    /// alone, so that the sum keeps in bounds whatever is cut off.
-    pub fn share_retries(&self, known: u32) {
+    /// Sets how many entry boxes share the retries that the operators allow. Each box uses only its
+    /// own share, so that the sum stays within the bounds even if boxes are cut off from each
+    /// other.
+    pub fn divide_retries(&self, known: u32) {
         let Some(follow) = &self.settings.follow else { return };
         let limits = retry_limits(follow, known);
         if self.retry_limits.replace(limits) == limits {
@@ -355,18 +361,18 @@
         }
     }
 
-    /// The cluster's time since 1970, or this box's before it knows better.
+    /// The cluster time since 1970, or this box's own time before the cluster time is known.
     pub fn cluster_time(&self) -> Duration {
         let clock = self.usage.borrow().clock();
         clock.map_or_else(clock::since_epoch, |clock| clock.since_epoch(clock::now()))
     }
 
-    /// Counts a request that an endpoint began to work on.
+    /// Counts a request on which an endpoint started to work.
     pub fn count_started(&self, organisation: &str) {
         self.usage.borrow_mut().begin(clock::now(), organisation);
     }
 
-    /// Counts an attempt that begins.
+    /// Accounts for an attempt that starts.
     pub fn begin_attempt(
         self: &Rc<Self>,
         endpoint: EndpointId,
@@ -382,12 +388,12 @@
         self.pool.borrow().get(endpoint).spec.address
     }
 
-    /// Applies what was seen of an endpoint.
+    /// Applies an event observed at an endpoint.
     pub fn apply_event(&self, endpoint: EndpointId, event: EndpointEvent) {
         self.update_pool(|pool, now, out| pool.handle(now, endpoint, event, out));
     }
 
-    /// Applies a change to the pool and tells the open requests what it means for them.
+    /// Applies a change to the pool, and passes its effects on to the open requests.
     pub fn update_pool<T>(
         &self,
         change: impl FnOnce(&mut Pool, Instant, &mut Vec<Effect>) -> T,
@@ -400,13 +406,13 @@
         done
     }
 
-    /// Endpoints that run on a box.
+    /// The endpoints on a box.
     pub fn endpoints_on(&self, box_name: &str) -> &[EndpointId] {
         self.boxes.get(box_name).map_or(&[], Vec::as_slice)
     }
 
     /// Marks an instance of a box as leaving.
-    pub fn mark(&self, instance: &Instance, gone_at: Instant) {
+    pub fn mark_leaving(&self, instance: &Instance, gone_at: Instant) {
         for endpoint in self.endpoints_on(&instance.box_name) {
             self.update_pool(|pool, now, out| {
                 if pool.set_instance(now, *endpoint, &instance.instance, out) {
@@ -441,7 +447,7 @@
             .info();
     }
 
-    /// The whole state as JSON.
+    /// The complete state as JSON.
     pub fn dump(&self) -> Value {
         let now = clock::now();
         let pool = self.pool.borrow();
@@ -466,8 +472,8 @@
                     "open_tokens": endpoint.open_tokens,
                     "open_elsewhere": endpoint.others_load,
                     "kept_parts": endpoint.cached_parts.len(),
-                    "limit_a_second": endpoint.gate.limit().filter(|named| !named.lifted)
-                        .map(|named| named.rate.per_second()),
+                    "limit_a_second": endpoint.gate.limit().filter(|limit| !limit.lifted)
+                        .map(|limit| limit.rate.per_second()),
                 })
             })
             .collect();
@@ -479,7 +485,8 @@
             "open_requests": self.open.dump(),
             "retries_left": self.budgets.borrow().iter().map(RetryBudget::left).collect::<Vec<_>>(),
             "claims": self.claims.as_ref().map(|claims| json!({
-                "keys": claims.key_count(), "held": claims.running_calls(), "closed": claims.is_closed(),
+                "keys": claims.key_count(), "held": claims.running_calls(),
+                "closed": claims.is_closed(),
             })),
             "marks": self.cluster.as_ref().map(Cluster::marks),
             "caller_connections": self.caller_connections.get(),
--- a/crates/vaneway-server/src/core/entry_incarnation.rs
+++ b/crates/vaneway-server/src/core/entry_incarnation.rs
@@ -1,4 +1,5 @@
-//! The starts of entry boxes: what one counted since its start is another's after the next.
+//! Incarnations of entry boxes. The counters of an entry box start from zero with each incarnation.
 
-/// Names one start of an entry box.
+/// Identifies an incarnation of an entry box: the box's name, and a number that differs with each
+/// start.
 pub type EntryIncarnation = (String, u64);
--- a/crates/vaneway-server/src/core/limits.rs
+++ b/crates/vaneway-server/src/core/limits.rs
@@ -1,7 +1,8 @@
-//! Limits that endpoints name in their answers, as this entry box treats them.
+//! Request rate limits that endpoints advertise in their responses, as one entry box handles them.
 //!
-//! Data flow: the head of each answer says what its endpoint takes ([`observe_response`]); what is news goes to the control boxes and
-//! from them to the other entry boxes ([`merge`]). The pool's gates decide by it, each time that an endpoint is chosen.
+//! Data flow: the head of each response states its endpoint's limit, if any ([`observe_response`]).
+//! Changes are sent to the control boxes, which forward them to the other entry boxes ([`merge`]).
+//! The pool's gates apply the limits whenever an endpoint is chosen.
 
 use vaneway_limit::EndpointLimit;
 use vaneway_limit::NumberError;
@@ -15,40 +16,41 @@
 use crate::core::entry::Entry;
 use crate::util::logline::Line;
 
-/// What the head of an answer says of the requests that its endpoint takes.
+/// What the head of a response states about its endpoint's limit.
 #[derive(Debug, Clone, Copy)]
 pub struct LimitObservation<'a> {
-    /// The endpoint that answered.
+    /// The endpoint that responded.
     pub endpoint: EndpointId,
     /// Id of the request, for logs.
     pub request: &'a str,
     /// The endpoint's service, for metrics.
     pub service: &'a str,
-    /// Whether the endpoint ran the request with success.
+    /// Whether the endpoint ran the request successfully.
     pub succeeded: bool,
-    /// The limit that it names, if any.
+    /// The limit that it advertises, if any.
     pub named: Result<Option<Rate>, NumberError>,
 }
 
-/// Learns what the head of an answer says.
+/// Records what the head of a response states.
 ///
-/// A success that names no limit ends the one before. A refusal or a failure may come from a part of the endpoint that
-/// doesn't know of it, so there silence changes nothing.
-pub fn observe_response(entry: &Entry, heard: &LimitObservation<'_>) {
-    let LimitObservation { endpoint, request, service, succeeded, named } = *heard;
+/// A successful response without a limit lifts the previous one. A refusal or a failure may come
+/// from a component of the endpoint that doesn't know the limit, so its absence there changes
+/// nothing.
+pub fn observe_response(entry: &Entry, observation: &LimitObservation<'_>) {
+    let LimitObservation { endpoint, request, service, succeeded, named } = *observation;
     if named == Ok(None) && (!succeeded || entry.limits.borrow().is_empty()) {
         return;
     }
     let name = entry.pool.borrow().get(endpoint).spec.name.clone();
     let rate = match named {
         Ok(rate) => rate,
-        Err(error) => return log_unreadable(entry, &name, heard, error),
+        Err(error) => return log_unreadable(entry, &name, observation, error),
     };
     let Some(born) = incarnation(entry, &name, endpoint) else { return };
     let now = entry.cluster_time();
-    let news = entry.limits.borrow_mut().record_response(now, &name, born, rate);
-    let Some(named) = news else { return };
-    entry.pool.borrow_mut().set_limit(endpoint, named);
+    let changed = entry.limits.borrow_mut().record_response(now, &name, born, rate);
+    let Some(limit) = changed else { return };
+    entry.pool.borrow_mut().set_limit(endpoint, limit);
     let change = if rate.is_some() { "named" } else { "ended" };
     entry.metrics.limits.with_label_values(&[service, change]).inc();
     Line::new("endpoint_limit")
@@ -59,11 +61,11 @@
         .info();
 }
 
-/// Learns what endpoints named in answers to other boxes.
-pub fn merge(entry: &Entry, told: &[EndpointLimit]) {
+/// Merges limits that endpoints advertised in responses to other boxes.
+pub fn merge(entry: &Entry, others: &[EndpointLimit]) {
     let now = entry.cluster_time();
-    let news = entry.limits.borrow_mut().merge(now, told);
-    for EndpointLimit { endpoint, limit } in news {
+    let changed = entry.limits.borrow_mut().merge(now, others);
+    for EndpointLimit { endpoint, limit } in changed {
         apply(entry, &endpoint);
         Line::new("endpoint_limit_told")
             .with("replica", endpoint)
@@ -75,20 +77,21 @@
     }
 }
 
-/// Puts in force what is known of a registered endpoint's limit, if it is of the incarnation that runs.
+/// Applies the known limit of a registered endpoint, if it is of the incarnation that is running.
 pub fn apply(entry: &Entry, name: &str) {
     let Some(endpoint) = entry.registered.borrow().get(name).copied() else { return };
-    let named = entry.limits.borrow().get(name).copied();
+    let limit = entry.limits.borrow().get(name).copied();
     let born = entry.registry.borrow().born(name);
-    if let Some(named) = named.filter(|named| named.matches_incarnation(born)) {
-        entry.pool.borrow_mut().set_limit(endpoint, named);
+    if let Some(limit) = limit.filter(|limit| limit.matches_incarnation(born)) {
+        entry.pool.borrow_mut().set_limit(endpoint, limit);
     }
 }
 
-/// What this box has to tell of limits since it was last asked.
+/// Returns the limits to send to the control boxes that changed since the last call.
 pub fn take_updates(entry: &Entry) -> Vec<EndpointLimit> {
     let mut limits = entry.limits.borrow_mut();
-    // As long as its gate goes by it: only what is known here can be ended by an answer.
+    // A limit is kept as long as an endpoint's gate applies it: a response can only lift a limit
+    // that is known here.
     limits.remove_expired(entry.cluster_time(), |name, _| is_in_use(entry, name));
     limits.take_updates()
 }
@@ -100,24 +103,29 @@
     registered.map_or_else(is_set, |endpoint| pool.get(endpoint).state != EndpointState::Gone)
 }
 
-/// Whether this incarnation of an endpoint may still answer, as a control box knows it.
+/// Whether this incarnation of an endpoint may still respond, as far as a control box knows.
 pub fn may_answer(registry: &Registry, name: &str, born: StartMillis) -> bool {
     registry.get(name).is_some_and(|known| known.born <= born && known.lifecycle < Lifecycle::Gone)
 }
 
-/// The incarnation that an endpoint of the pool stands for; none if another has taken its place. One that the
-/// settings name has no other.
+/// The incarnation that an endpoint of the pool represents; none if a newer one has replaced it. An
+/// endpoint that is listed in the settings is never replaced.
 fn incarnation(entry: &Entry, name: &str, endpoint: EndpointId) -> Option<StartMillis> {
     let registered = entry.registered.borrow().get(name).copied();
     let born = || entry.registry.borrow().born(name);
     registered.is_none_or(|current| current == endpoint).then(born)
 }
 
-fn log_unreadable(entry: &Entry, name: &str, heard: &LimitObservation<'_>, error: NumberError) {
-    entry.metrics.limits.with_label_values(&[heard.service, "unreadable"]).inc();
+fn log_unreadable(
+    entry: &Entry,
+    name: &str,
+    observation: &LimitObservation<'_>,
+    error: NumberError,
+) {
+    entry.metrics.limits.with_label_values(&[observation.service, "unreadable"]).inc();
     Line::new("endpoint_limit_unreadable")
         .with("replica", name)
-        .with("request", heard.request)
+        .with("request", observation.request)
         .with("why", error.name())
         .warn();
 }
--- a/crates/vaneway-server/src/core/loads.rs
+++ b/crates/vaneway-server/src/core/loads.rs
@@ -1,11 +1,12 @@
-//! What entry boxes have open at endpoints, summed up over all of them, without I/O.
+//! Open requests and tokens at endpoints, summed up over all entry boxes, without I/O.
 //!
-//! Why sums that are kept: each entry box changes a few of them between two tellings, while there are as
-//! many numbers as boxes times endpoints to add up anew.
+//! The sums are maintained incrementally: each entry box changes a few of them between two reports,
+//! whereas adding them up anew takes as many numbers as there are boxes times endpoints.
 //!
-//! Data flow: entry boxes tell all of theirs when they connect and now and then ([`LoadLedger::replace`]),
-//! and in between what changed ([`LoadLedger::update`]). Whatever was lost is right again with the next
-//! whole telling. What changed in the sums ([`LoadLedger::take_changed`]) is told to entry boxes.
+//! Data flow: entry boxes report all of their load when they connect and at intervals
+//! ([`LoadLedger::replace`]), and only the changes in between ([`LoadLedger::update`]). The next
+//! full report corrects whatever was lost. The sums that changed ([`LoadLedger::take_changed`]) are
+//! sent to entry boxes.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,37 +16,37 @@
 
 use crate::core::entry_incarnation::EntryIncarnation;
 
-/// What is open at some endpoints.
+/// Load at some endpoints.
 pub type Loads = Vec<(InstanceId, Load)>;
 
-/// What all entry boxes have open at endpoints, as they told a control box.
+/// Load of all entry boxes at endpoints, as they reported it to a control box.
 #[derive(Debug, Default)]
 pub struct LoadLedger {
-    told: BTreeMap<EntryIncarnation, BTreeMap<InstanceId, Load>>,
+    reported: BTreeMap<EntryIncarnation, BTreeMap<InstanceId, Load>>,
     sums: BTreeMap<InstanceId, Load>,
-    /// Endpoints whose sum changed since it was last asked for.
+    /// Endpoints whose sum changed since the last call of [`LoadLedger::take_changed`].
     changed: BTreeSet<InstanceId>,
 }
 
 impl LoadLedger {
-    /// Takes in all that an entry box has open.
+    /// Replaces the whole load of an entry box.
     pub fn replace(&mut self, entry: &EntryIncarnation, loads: &[(InstanceId, Load)]) {
-        let known = self.told.get(entry);
+        let known = self.reported.get(entry);
         let now: BTreeMap<&InstanceId, Load> = loads.iter().map(|(id, load)| (id, *load)).collect();
-        let ended = known.into_iter().flat_map(BTreeMap::keys).filter(|id| !now.contains_key(id));
-        let ended: Loads = ended.map(|id| (id.clone(), Load::default())).collect();
-        self.update(entry, &ended);
+        let removed = known.into_iter().flat_map(BTreeMap::keys).filter(|id| !now.contains_key(id));
+        let removed: Loads = removed.map(|id| (id.clone(), Load::default())).collect();
+        self.update(entry, &removed);
         self.update(entry, loads);
     }
 
-    /// Takes in what an entry box has open at some endpoints.
+    /// Updates the load of an entry box at some endpoints.
     pub fn update(&mut self, entry: &EntryIncarnation, loads: &[(InstanceId, Load)]) {
-        let told = self.told.entry(entry.clone()).or_default();
+        let reported = self.reported.entry(entry.clone()).or_default();
         for (id, load) in loads {
             let before = if *load == Load::default() {
-                told.remove(id)
+                reported.remove(id)
             } else {
-                told.insert(id.clone(), *load)
+                reported.insert(id.clone(), *load)
             };
             let before = before.unwrap_or_default();
             if before == *load {
@@ -63,18 +64,18 @@
         }
     }
 
-    /// Forgets what an entry box that is gone has open.
+    /// Removes the load of an entry box that is gone.
     pub fn remove(&mut self, entry: &EntryIncarnation) {
         self.replace(entry, &[]);
-        self.told.remove(entry);
+        self.reported.remove(entry);
     }
 
-    /// The sums of all endpoints at which anything is open.
+    /// The sums of all endpoints that have any load.
     pub fn all(&self) -> Loads {
         self.sums.iter().map(|(id, load)| (id.clone(), *load)).collect()
     }
 
-    /// The sums that changed since this was last asked.
+    /// Returns the sums that changed since the last call.
     pub fn take_changed(&mut self) -> Loads {
         let changed = std::mem::take(&mut self.changed).into_iter();
         let with_sum = changed.map(|id| {
--- a/crates/vaneway-server/src/core/metrics.rs
+++ b/crates/vaneway-server/src/core/metrics.rs
@@ -22,40 +22,42 @@
 #[derive(Debug, Clone)]
 pub struct Metrics {
     registry: Registry,
-    /// Requests by service and how they ended: `complete`, `abandoned` or an error code.
+    /// Requests by service and end: `complete`, `abandoned` or an error code.
     pub requests: IntCounterVec,
     /// Attempts by service and outcome.
     pub attempts: IntCounterVec,
     /// Moves of streams by kind: `resumed`, `transferred`, `recomputed`.
     pub moves: IntCounterVec,
-    /// Tokens computed again because a stream moved, by this box's estimate.
+    /// Tokens recomputed because a stream moved, as estimated by this box.
     pub recomputed_tokens: IntCounter,
     /// Tokens sent to callers.
     pub tokens: IntCounter,
-    /// Requests refused at the door, by code.
+    /// Requests refused on admission, by code.
     pub refused: IntCounterVec,
-    /// Verdicts on requests under which endpoints ended, by service.
+    /// Verdicts on requests that were running when endpoints crashed, by service.
     pub quarantine: IntCounterVec,
-    /// Changes of the limits that endpoints name in their answers, by service: `named`, `ended` or `unreadable`.
+    /// Changes of the limits that endpoints advertise, by service: `named`, `ended` or
+    /// `unreadable`.
     pub limits: IntCounterVec,
-    /// Rests that endpoints ask for in refusals, by service: `asked` or `unreadable`.
-    pub rests: IntCounterVec,
-    /// Reclaim notices seen.
+    /// Back-offs requested by endpoints in refusals, by service: `asked` or `unreadable`.
+    pub backoffs: IntCounterVec,
+    /// Reclaim notices received.
     pub notices: IntCounter,
-    /// Datagrams dropped because their tag, form or sender was wrong.
+    /// Datagrams dropped because of a wrong tag, format or sender.
     pub datagrams_dropped: IntCounter,
-    /// Requests open now.
+    /// Requests that are open now.
     pub open: IntGauge,
     /// Seconds from a request's arrival to its first chunk.
     pub first_token: Histogram,
 }
 
 impl Metrics {
-    /// Metrics in a registry of their own.
+    /// Creates the metrics in a registry of their own.
     ///
     /// # Panics
     ///
-    /// If two metrics have one name, which is fixed here and seen by every test.
+    /// Panics if two metrics have the same name. The names are fixed here, so any test would show
+    /// it.
     pub fn new() -> Self {
         let registry = Registry::new();
         let first_token = HistogramOpts::new(
@@ -82,7 +84,7 @@
                 "Changes of the limits that endpoints name",
                 &["service", "change"],
             ),
-            rests: vec(
+            backoffs: vec(
                 &registry,
                 "endpoint_rests",
                 "Rests that endpoints ask for in refusals",
@@ -102,7 +104,7 @@
         }
     }
 
-    /// The metrics in the Prometheus text form.
+    /// Renders the metrics in the Prometheus text format.
     ///
     /// # Panics
     ///
--- a/crates/vaneway-server/src/core/mod.rs
+++ b/crates/vaneway-server/src/core/mod.rs
@@ -1,8 +1,8 @@
-//! What runs on entry and control boxes.
+//! The logic of entry and control boxes.
 //!
-//! The way of a request goes through [`callers`] (its protocol, its route, its organisation),
-//! [`calls`] (the decisions over it, driven until its last byte) and [`endpoints`] (attempts and
-//! connections). [`control`] is what control boxes run; [`cluster`] what boxes tell each other.
+//! A request passes through [`callers`] (its protocol, its route, its organisation), [`calls`] (the
+//! decisions on it, driven until its last byte) and [`endpoints`] (attempts and connections).
+//! [`control`] contains the tasks of control boxes, [`cluster`] the communication between boxes.
 
 pub mod cached_parts;
 pub mod callers;
--- a/crates/vaneway-server/src/core/occupancy.rs
+++ b/crates/vaneway-server/src/core/occupancy.rs
@@ -1,4 +1,4 @@
-//! What an attempt takes up at its endpoint, and what is seen of its run there.
+//! Load that an attempt causes at its endpoint, and measurement of its run there.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -9,22 +9,22 @@
 use crate::core::entry::Entry;
 use crate::util::clock;
 
-/// Counts an attempt at an endpoint until it is dropped.
+/// Accounts for an attempt at an endpoint until dropped.
 #[derive(Debug)]
 pub struct Occupancy {
     entry: Rc<Entry>,
     endpoint: EndpointId,
-    /// Tokens of work that has not begun.
+    /// Tokens of outstanding work; 0 once the response has started.
     tokens: u64,
-    /// Whether its answer arrives piece by piece.
-    arriving: bool,
-    /// What is seen of its run, if it is one of an engine.
-    run: Option<WatchedRun>,
+    /// Whether the first chunk of the response has arrived.
+    responding: bool,
+    /// Measurement of its run, if the endpoint is an engine.
+    run: Option<RunTracker>,
 }
 
-/// A run at an engine while it is watched.
+/// Measurement of a run at an engine.
 #[derive(Debug)]
-struct WatchedRun {
+struct RunTracker {
     service: String,
     uncached_tokens: u64,
     sent: Instant,
@@ -34,8 +34,8 @@
     completed: bool,
 }
 
-impl WatchedRun {
-    fn heard(&mut self, now: Instant) {
+impl RunTracker {
+    fn record_chunk(&mut self, now: Instant) {
         if self.first.is_some() {
             self.gaps += 1;
         }
@@ -43,8 +43,8 @@
         self.last = Some(now);
     }
 
-    /// What was seen of it, if anything came.
-    fn seen(&self) -> Option<Run> {
+    /// The measured run, if any chunk of the response arrived.
+    fn measured(&self) -> Option<Run> {
         let (first, last) = (self.first?, self.last?);
         Some(Run {
             uncached_tokens: self.uncached_tokens,
@@ -57,15 +57,15 @@
 }
 
 impl Occupancy {
-    /// An attempt that begins, with `tokens` of work.
+    /// An attempt that starts, with `tokens` of work.
     pub(super) fn new(entry: Rc<Entry>, endpoint: EndpointId, tokens: u64) -> Self {
-        Self { entry, endpoint, tokens, arriving: false, run: None }
+        Self { entry, endpoint, tokens, responding: false, run: None }
     }
 
-    /// Watches it as a run of an engine of `service` with a prompt of `prompt` tokens.
+    /// Starts measuring it as a run at an engine of `service`, with a prompt of `prompt` tokens.
     pub fn track_run(&mut self, service: &str, prompt: u64) {
         self.entry.usage.borrow_mut().begin_run(service, prompt, self.tokens);
-        self.run = Some(WatchedRun {
+        self.run = Some(RunTracker {
             service: service.to_owned(),
             uncached_tokens: self.tokens,
             sent: clock::now(),
@@ -76,26 +76,27 @@
         });
     }
 
-    /// Notes that the answer came to its end.
+    /// Records that the response is complete.
     pub fn mark_complete(&mut self) {
         if let Some(run) = &mut self.run {
             run.completed = true;
         }
     }
 
-    /// Whether a piece of the answer has arrived.
+    /// Whether the first chunk of the response has arrived.
     pub fn is_arriving(&self) -> bool {
-        self.arriving
+        self.responding
     }
 
-    /// Counts that a piece of the answer arrived, and with the first that the work has begun.
+    /// Records that a chunk of the response arrived. The first one shows that the endpoint has
+    /// begun the work.
     pub fn record_chunk(&mut self) {
         let now = clock::now();
         if let Some(run) = &mut self.run {
-            run.heard(now);
+            run.record_chunk(now);
         }
         let mut pool = self.entry.pool.borrow_mut();
-        if std::mem::replace(&mut self.arriving, true) {
+        if std::mem::replace(&mut self.responding, true) {
             pool.record_progress(now, self.endpoint);
         } else {
             pool.begin_response(now, self.endpoint, std::mem::take(&mut self.tokens));
@@ -106,10 +107,10 @@
 impl Drop for Occupancy {
     fn drop(&mut self) {
         if let Some(run) = &self.run
-            && let Some(seen) = run.seen()
+            && let Some(measured) = run.measured()
         {
-            self.entry.usage.borrow_mut().observe_run(&run.service, &seen);
+            self.entry.usage.borrow_mut().observe_run(&run.service, &measured);
         }
-        self.entry.pool.borrow_mut().end_attempt(self.endpoint, self.tokens, self.arriving);
+        self.entry.pool.borrow_mut().end_attempt(self.endpoint, self.tokens, self.responding);
     }
 }
--- a/crates/vaneway-server/src/core/operators.rs
+++ b/crates/vaneway-server/src/core/operators.rs
@@ -1,7 +1,8 @@
-//! The operators' address: gRPC by the schema in `proto/`, metrics, and the state as JSON.
+//! The operators' interface: gRPC as defined in `proto/`, metrics, and the state as JSON.
 //!
-//! Why the detour: the gRPC library wants handlers that could move between threads, while the
-//! entry's state lives on one. A handler sends a question to the loop and awaits the answer.
+//! The gRPC library requires handlers that can move between threads, while the entry box's state
+//! belongs to one thread. A handler therefore sends a query to the event loop and awaits the
+//! result.
 
 use std::io;
 use std::net::SocketAddr;
@@ -35,31 +36,31 @@
 use crate::util::clock;
 use crate::util::logline::Line;
 
-type Question = Box<dyn FnOnce(&Entry) + Send>;
+type EntryQuery = Box<dyn FnOnce(&Entry) + Send>;
 
-/// Asks the loop that owns the entry's state.
+/// Runs queries on the event loop that owns the entry box's state.
 #[derive(Debug, Clone)]
-struct Asker {
-    questions: mpsc::UnboundedSender<Question>,
+struct EntryHandle {
+    queries: mpsc::UnboundedSender<EntryQuery>,
     tokens: Arc<Vec<OperatorToken>>,
 }
 
-impl Asker {
-    async fn ask<T: Send + 'static>(
+impl EntryHandle {
+    async fn query<T: Send + 'static>(
         &self,
-        question: impl FnOnce(&Entry) -> T + Send + 'static,
+        query: impl FnOnce(&Entry) -> T + Send + 'static,
     ) -> Result<T, Status> {
         let (tx, rx) = oneshot::channel();
-        let question: Question = Box::new(move |entry| {
-            // The operator may have gone away meanwhile.
-            let _gone = tx.send(question(entry));
+        let query: EntryQuery = Box::new(move |entry| {
+            // The operator may have disconnected meanwhile.
+            let _gone = tx.send(query(entry));
         });
-        let sent = self.questions.unbounded_send(question);
+        let sent = self.queries.unbounded_send(query);
         sent.map_err(|error| Status::unavailable(error.to_string()))?;
         rx.await.map_err(|error| Status::unavailable(error.to_string()))
     }
 
-    /// Checks an `authorization` header; `call` names the call for the log.
+    /// Checks an `authorization` header; `call` names the call in the log.
     fn check(&self, authorization: Option<&str>, call: &str) -> Result<(), Status> {
         if self.tokens.is_empty() {
             return Ok(());
@@ -80,27 +81,28 @@
     }
 }
 
-/// Starts to listen for operators and returns the bound address.
+/// Binds the operators' address, serves it in the background and returns it.
 ///
 /// # Errors
 ///
-/// If the address can't be bound.
+/// Fails if the address can't be bound.
 pub async fn bind(entry: Rc<Entry>) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(entry.settings.operators.listen).await?;
     let address = listener.local_addr()?;
-    // Each question's connection waits for the answer, so there are no more of them than connections.
-    let (tx, mut rx) = mpsc::unbounded::<Question>();
+    // Each query's connection waits for the result, so there are never more queries than
+    // connections.
+    let (tx, mut rx) = mpsc::unbounded::<EntryQuery>();
     let tokens = Arc::new(entry.settings.operators.tokens.clone());
     compio::runtime::spawn(async move {
-        while let Some(question) = rx.next().await {
-            question(&entry);
+        while let Some(query) = rx.next().await {
+            query(&entry);
         }
     })
     .detach();
-    let asker = Asker { questions: tx, tokens };
-    let router = tonic::service::Routes::new(OperatorsServer::new(asker.clone()))
+    let handle = EntryHandle { queries: tx, tokens };
+    let router = tonic::service::Routes::new(OperatorsServer::new(handle.clone()))
         .into_axum_router()
-        .merge(pages(asker));
+        .merge(http_routes(handle));
     compio::runtime::spawn(async move {
         if let Err(error) = cyper_axum::serve(listener, router).await {
             log::error!("event=operators_stopped error={error:?}");
@@ -110,32 +112,35 @@
     Ok(address)
 }
 
-fn pages(asker: Asker) -> Router {
+fn http_routes(handle: EntryHandle) -> Router {
     Router::new()
         .route("/metrics", get(metrics))
         .route("/debug/state", get(state))
-        .with_state(asker)
+        .with_state(handle)
 }
 
-async fn metrics(State(asker): State<Asker>) -> Response {
-    let rendered = asker
-        .ask(|entry| {
+async fn metrics(State(handle): State<EntryHandle>) -> Response {
+    let rendered = handle
+        .query(|entry| {
             entry.metrics.open.set(entry.open.len().try_into().unwrap_or(i64::MAX));
             entry.metrics.render()
         })
         .await;
-    page("text/plain; version=0.0.4", rendered)
+    http_response("text/plain; version=0.0.4", rendered)
 }
 
-async fn state(State(asker): State<Asker>, headers: HeaderMap) -> Response {
+async fn state(State(handle): State<EntryHandle>, headers: HeaderMap) -> Response {
     let authorization = headers.get("authorization").and_then(|value| value.to_str().ok());
-    if let Err(status) = asker.check(authorization, "debug_state") {
+    if let Err(status) = handle.check(authorization, "debug_state") {
         return (StatusCode::UNAUTHORIZED, status.message().to_owned()).into_response();
     }
-    page("application/json", asker.ask(|entry| entry.dump().to_string().into_bytes()).await)
+    http_response(
+        "application/json",
+        handle.query(|entry| entry.dump().to_string().into_bytes()).await,
+    )
 }
 
-fn page(kind: &'static str, body: Result<Vec<u8>, Status>) -> Response {
+fn http_response(kind: &'static str, body: Result<Vec<u8>, Status>) -> Response {
     match body {
         Ok(body) => ([("content-type", kind)], body).into_response(),
         Err(status) => (StatusCode::SERVICE_UNAVAILABLE, status.to_string()).into_response(),
@@ -146,7 +151,7 @@
     entry.settings.services[endpoint.spec.service as usize].name.clone()
 }
 
-/// The endpoints of one service, or of all if `service` is empty.
+/// Describes the endpoints of one service, or of all if `service` is empty.
 fn endpoints_of<T>(
     entry: &Entry,
     service: &str,
@@ -220,13 +225,13 @@
 }
 
 #[tonic::async_trait]
-impl Operators for Asker {
+impl Operators for EntryHandle {
     async fn list_services(
         &self,
         request: Request<v1::ListServicesRequest>,
     ) -> Result<tonic::Response<v1::ListServicesResponse>, Status> {
         self.check_request(&request, "list_services")?;
-        let services = self.ask(list_services).await?;
+        let services = self.query(list_services).await?;
         Ok(tonic::Response::new(v1::ListServicesResponse { services }))
     }
 
@@ -237,7 +242,7 @@
         self.check_request(&request, "list_replicas")?;
         let service = request.into_inner().service;
         let replicas =
-            self.ask(move |entry| endpoints_of(entry, &service, describe_replica)).await??;
+            self.query(move |entry| endpoints_of(entry, &service, describe_replica)).await??;
         Ok(tonic::Response::new(v1::ListReplicasResponse { replicas }))
     }
 
@@ -248,7 +253,7 @@
         self.check_request(&request, "list_endpoints")?;
         let service = request.into_inner().service;
         let endpoints =
-            self.ask(move |entry| endpoints_of(entry, &service, describe_endpoint)).await??;
+            self.query(move |entry| endpoints_of(entry, &service, describe_endpoint)).await??;
         Ok(tonic::Response::new(v1::ListEndpointsResponse { endpoints }))
     }
 
@@ -258,7 +263,7 @@
     ) -> Result<tonic::Response<v1::GetStatusResponse>, Status> {
         self.check_request(&request, "get_status")?;
         let status = self
-            .ask(|entry| v1::GetStatusResponse {
+            .query(|entry| v1::GetStatusResponse {
                 name: entry.settings.name.clone(),
                 availability_zone: entry.settings.availability_zone.clone(),
                 phase: entry.phase().name().to_owned(),
@@ -274,7 +279,7 @@
         request: Request<v1::ListQuarantineRequest>,
     ) -> Result<tonic::Response<v1::ListQuarantineResponse>, Status> {
         self.check_request(&request, "list_quarantine")?;
-        let requests = self.ask(list_quarantine).await?;
+        let requests = self.query(list_quarantine).await?;
         Ok(tonic::Response::new(v1::ListQuarantineResponse { requests }))
     }
 
@@ -285,12 +290,13 @@
         self.check_request(&request, "release_request")?;
         let text = request.into_inner().fingerprint;
         let Ok(fingerprint) = Fingerprint::from_str_radix(&text, 16) else {
-            let message = format!("`{text}` is no fingerprint: send up to 16 hexadecimal digits");
+            let message =
+                format!("`{text}` is not a fingerprint: send up to 16 hexadecimal digits");
             return Err(Status::invalid_argument(message));
         };
-        let released = self.ask(move |entry| quarantine::release(entry, fingerprint)).await?;
+        let released = self.query(move |entry| quarantine::release(entry, fingerprint)).await?;
         if !released {
-            return Err(Status::not_found(format!("nothing is held against request {text}")));
+            return Err(Status::not_found(format!("nothing is recorded against request {text}")));
         }
         Ok(tonic::Response::new(v1::ReleaseRequestResponse {}))
     }
@@ -300,7 +306,7 @@
         request: Request<v1::DumpRequest>,
     ) -> Result<tonic::Response<v1::DumpResponse>, Status> {
         self.check_request(&request, "dump")?;
-        let json = self.ask(|entry| entry.dump().to_string()).await?;
+        let json = self.query(|entry| entry.dump().to_string()).await?;
         Ok(tonic::Response::new(v1::DumpResponse { json }))
     }
 }
--- a/crates/vaneway-server/src/core/quarantine.rs
+++ b/crates/vaneway-server/src/core/quarantine.rs
@@ -1,9 +1,10 @@
-//! Requests under which endpoints end, as this entry box treats them.
+//! Requests that crash endpoints, as one entry box handles them.
 //!
-//! Data flow: an attempt that breaks off asks whether its endpoint has ended ([`endpoint_has_exited`]). If so, the
-//! call counts it against its request ([`record_crash`]) and ends there if the request is condemned. What is
-//! answered with success is cleared ([`clear_request`]), and a request that is condemned is refused wherever it is sent
-//! again ([`check`]). What is found is told to the other boxes, and what they found is learned ([`merge`]).
+//! Data flow: an attempt that breaks off determines whether its endpoint has exited
+//! ([`endpoint_has_exited`]). If so, the crash is recorded against the request ([`record_crash`]),
+//! which is not retried if that condemns it. A request that is answered successfully is cleared
+//! ([`clear_request`]); a condemned one is refused whenever it is sent again ([`check`]).
+//! Quarantine records are sent to the other boxes, and theirs are merged here ([`merge`]).
 
 use std::collections::BTreeSet;
 use std::future::poll_fn;
@@ -31,33 +32,37 @@
 use crate::util::logline::Line;
 use crate::util::socket;
 
-/// How long an attempt that broke off waits to learn whether its endpoint has ended: several round trips between
-/// availability zones. Without an answer it counts as reached no more, which is no evidence.
-const CONFIRM_WITHIN: Duration = Duration::from_millis(50);
+/// Timeout for a connection that probes whether an endpoint has exited: several round trips between
+/// availability zones. An endpoint that doesn't answer counts as unreachable, which is no evidence
+/// of an exit.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Connections that are opened to learn it: an endpoint that has too many resets them too, and must not get many more.
-const CONFIRM_TRIES: usize = 3;
+/// Number of probe connections. An endpoint that has too many connections resets new ones too, and
+/// must not get many more.
+const PROBE_COUNT: usize = 3;
 
-/// Pause between two of them.
-const CONFIRM_PAUSE: Duration = Duration::from_millis(5);
+/// Pause between two probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long a connection that opens must last for its endpoint to count as alive: the system of a process that dies closes
-/// its connections and its listening socket one after another.
-const LASTS: Duration = Duration::from_millis(20);
+/// How long a probe connection must stay open for its endpoint to count as alive: when a process
+/// dies, its operating system closes its connections and its listening socket one after another.
+const MIN_CONNECTION_AGE: Duration = Duration::from_millis(20);
 
-/// What makes a request the same when its caller sends it again, under another id and to any box: who sent it, where
-/// to, and its body. Nobody can get another organisation's request condemned.
+/// Identifies a request by its content, so that it is recognised when its caller sends it again,
+/// under another id and to any box: by its organisation, its destination and its body. With the
+/// organisation included, nobody can get another organisation's request condemned.
 ///
-/// Left out is what a copy may come with anew: the service, since a route may be split or move, and what the caller says
-/// of the prompt, which follows from the body.
+/// Excluded is what may differ when the request is sent again: the service, since a route may be
+/// split or moved, and the caller's hints on the prompt, which follows from the body.
 pub fn fingerprint(request: &CallRequest) -> Fingerprint {
     let method = request.method.as_str();
     let CallRequest { organisation, addressed_to, path, body, .. } = request;
     hash::of((organisation, addressed_to, method, path, body))
 }
 
-/// Whether an endpoint has ended and not by plan: nothing listens at its address, and it had not said that it leaves.
-/// What speaks against it is logged, since nothing is held then against the request that it ran.
+/// Whether an endpoint has exited unplanned: nothing listens at its address, and it had not
+/// announced that it leaves. If not, the reason is logged, since nothing is recorded against the
+/// request that it ran.
 pub async fn endpoint_has_exited(
     entry: &Entry,
     request: &CallRequest,
@@ -68,7 +73,7 @@
         let endpoint = pool.get(endpoint);
         (endpoint.spec.name.clone(), endpoint.spec.address, endpoint.state)
     };
-    let Some(why) = why_not_ended(entry, address, state).await else { return true };
+    let Some(why) = reason_not_exited(entry, address, state).await else { return true };
     Line::new("endpoint_end_not_confirmed")
         .with("request", &request.id)
         .with("replica", name)
@@ -77,51 +82,56 @@
     false
 }
 
-/// Why an endpoint at which a connection broke has not ended, as far as can be seen; none if it has.
-async fn why_not_ended(
+/// The reason why an endpoint whose connection broke is taken not to have exited; none if it has.
+async fn reason_not_exited(
     entry: &Entry,
     address: SocketAddr,
     state: EndpointState,
 ) -> Option<&'static str> {
     if matches!(state, EndpointState::Leaving | EndpointState::Gone) {
-        return Some("it had said that it leaves");
+        return Some("it had announced that it leaves");
     }
-    for _ in 0..CONFIRM_TRIES {
-        let stream = match socket::connect_timeout(&entry.timers, address, CONFIRM_WITHIN).await {
+    for _ in 0..PROBE_COUNT {
+        let stream = match socket::connect_timeout(&entry.timers, address, PROBE_TIMEOUT).await {
             Ok(stream) => stream,
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => return None,
-            Err(_) => return Some("its address can't be reached"),
+            Err(_) => return Some("its address is unreachable"),
         };
-        // Nothing was asked of it, so whatever comes is its end.
-        let ends = poll_fn(|cx| stream.poll_recv_ready(cx));
-        if entry.timers.timeout_at(clock::now() + LASTS, ends).await.is_none() {
-            return Some("it takes connections");
+        // No request was sent, so anything that can be read means that the peer closed the
+        // connection.
+        let closed = poll_fn(|cx| stream.poll_recv_ready(cx));
+        if entry.timers.timeout_at(clock::now() + MIN_CONNECTION_AGE, closed).await.is_none() {
+            return Some("it accepts connections");
         }
-        entry.timers.sleep(CONFIRM_PAUSE).await;
+        entry.timers.sleep(PROBE_INTERVAL).await;
     }
-    Some("it ends new connections at once")
+    Some("it closes new connections at once")
 }
 
-/// When an endpoint that runs now was born, as this box knows it.
+/// The start time of the incarnation of an endpoint that is running now, as this box knows it.
 pub fn born(entry: &Entry, endpoint: EndpointId) -> StartMillis {
     entry.registry.borrow().born(&entry.pool.borrow().get(endpoint).spec.name)
 }
 
-/// Gives an endpoint that has ended no more work for a while, and tells the other boxes.
+/// Sends no more work to an endpoint that has exited, for a while, and reports the exit to the
+/// other boxes.
 ///
-/// Of many boxes each would find it for itself, at the cost of a request's time, of an arrival at another endpoint and
-/// of the budget of retries: 900 times after two waves of 23 crashes of 60 endpoints under 69 boxes, as simulated.
-pub fn record_exit(entry: &Entry, endpoint: EndpointId, ended: &Incarnation) {
-    if !entry.registered.borrow().contains_key(ended.name()) {
-        // One that the settings name starts again as the same endpoint, without anyone saying so.
+/// Otherwise each box would have to detect the exit by itself, at the cost of a request's time, of
+/// an additional request at another endpoint and of retry budget: 900 times in a simulation with 69
+/// boxes and two waves of 23 crashes among 60 endpoints.
+pub fn record_exit(entry: &Entry, endpoint: EndpointId, incarnation: &Incarnation) {
+    if !entry.registered.borrow().contains_key(incarnation.name()) {
+        // An endpoint that is listed in the settings restarts as the same endpoint, without any
+        // report of it.
         return;
     }
     let now = entry.cluster_time();
-    entry.quarantine.borrow_mut().record_exit(now, ended);
+    entry.quarantine.borrow_mut().record_exit(now, incarnation);
     entry.update_pool(|pool, now, out| pool.record_exit(now, endpoint, out));
 }
 
-/// Counts that an endpoint ended under a request, the last of `ends`; the others ended under it before.
+/// Records against a request that an endpoint crashed while running it: the last of `ends`; the
+/// others crashed while running it before.
 pub fn record_crash(
     entry: &Entry,
     request: &CallRequest,
@@ -140,24 +150,25 @@
         .with("progress", ends.last().map_or("", |(_, progress)| progress.name()))
         .with("verdict", verdict.name())
         .with("ended_here", ends.len())
-        .with("ended_in_all", known_ends(entry, fingerprint))
+        .with("ended_in_all", crash_count(entry, fingerprint))
         .warn();
     verdict
 }
 
-fn known_ends(entry: &Entry, fingerprint: Fingerprint) -> usize {
+fn crash_count(entry: &Entry, fingerprint: Fingerprint) -> usize {
     let quarantine = entry.quarantine.borrow();
     quarantine.cases().get(&fingerprint).map_or(0, |case| case.ends.len())
 }
 
-/// Clears a request that was answered whole and with success, if anything was held against it.
+/// Clears a request that was answered completely and successfully, if anything was recorded against
+/// it.
 pub fn clear_request(entry: &Entry, request: &CallRequest) {
     if entry.quarantine.borrow().is_empty() {
         return;
     }
     let fingerprint = fingerprint(request);
     let now = entry.cluster_time();
-    let ends = known_ends(entry, fingerprint);
+    let ends = crash_count(entry, fingerprint);
     if entry.quarantine.borrow_mut().clear(now, fingerprint) {
         let cleared = Verdict::Cleared.name();
         entry.metrics.quarantine.with_label_values(&[&request.service_name, cleared]).inc();
@@ -169,7 +180,8 @@
     }
 }
 
-/// Clears a request at an operator's word, here and at all other boxes; whether anything was held against it.
+/// Clears a request for an operator, here and at all other boxes; returns whether anything was
+/// recorded against it.
 pub fn release(entry: &Entry, fingerprint: Fingerprint) -> bool {
     let now = entry.cluster_time();
     let released = entry.quarantine.borrow_mut().clear(now, fingerprint);
@@ -185,13 +197,14 @@
 pub enum Placement {
     /// At any endpoint.
     Anywhere,
-    /// Apart from others, by its fingerprint: an endpoint ended under it.
+    /// Apart from other suspected requests, as chosen by its fingerprint: an endpoint crashed while
+    /// running it.
     Isolated(Fingerprint),
-    /// At none: it is condemned.
+    /// At no endpoint: it is condemned.
     Forbidden,
 }
 
-/// Where a request may run; `ended_here` if an endpoint ended under it at this box.
+/// Where a request may run; `ended_here` if an endpoint crashed while running it for this box.
 pub fn placement(entry: &Entry, request: &CallRequest, ended_here: bool) -> Placement {
     let quarantine = entry.quarantine.borrow();
     if quarantine.is_empty() {
@@ -210,7 +223,7 @@
 ///
 /// # Errors
 ///
-/// If it is.
+/// Fails if the request is condemned.
 pub fn check(entry: &Entry, request: &CallRequest) -> Result<(), ApiError> {
     if placement(entry, request, false) != Placement::Forbidden {
         return Ok(());
@@ -219,18 +232,19 @@
     let quarantine = entry.quarantine.borrow();
     let ends = quarantine.cases().get(&fingerprint).map_or(0, |case| case.ends.len());
     let message = format!(
-        "{ends} endpoints that ran this request ended under it, so it is run no more; send it in another form, or \
-         ask an operator to release {fingerprint:016x}"
+        "{ends} endpoints crashed while running this request, so it is not run again; change the \
+         request, or ask an operator to release {fingerprint:016x}"
     );
     let code = FailureKind::CrashesEndpoints.code();
     Err(ApiError::rejected(StatusCode::UNPROCESSABLE_ENTITY, code, message))
 }
 
-/// Learns what other boxes found. What runs here and is condemned now is taken back before its endpoint ends too.
-pub fn merge(entry: &Entry, findings: &[QuarantineRecord]) {
+/// Merges quarantine records of other boxes. Running requests that are condemned now are cancelled
+/// before they crash further endpoints.
+pub fn merge(entry: &Entry, records: &[QuarantineRecord]) {
     let now = entry.cluster_time();
-    let news = entry.quarantine.borrow_mut().merge(now, findings);
-    let changed = |finding: &QuarantineRecord| match finding {
+    let updates = entry.quarantine.borrow_mut().merge(now, records);
+    let changed = |record: &QuarantineRecord| match record {
         QuarantineRecord::Case { fingerprint, .. } => Some(*fingerprint),
         QuarantineRecord::EndpointEnded { .. } => None,
     };
@@ -238,33 +252,33 @@
         entry.quarantine.borrow().verdict(*fingerprint) == Some(Verdict::Condemned)
     };
     let condemned: BTreeSet<Fingerprint> =
-        news.iter().filter_map(changed).filter(is_condemned).collect();
+        updates.iter().filter_map(changed).filter(is_condemned).collect();
     if !condemned.is_empty() {
         entry
             .open
             .send_to_matching(&Event::Condemned, |call| condemned.contains(&fingerprint(call)));
     }
-    for finding in news {
-        match finding {
+    for record in updates {
+        match record {
             QuarantineRecord::Case { fingerprint, case } => Line::new("request_case_told")
                 .with("fingerprint", format!("{fingerprint:016x}"))
                 .with("verdict", case.verdict.name())
                 .with("ended", case.ends.len())
                 .info(),
-            QuarantineRecord::EndpointEnded { endpoint, .. } => learn_ended(entry, &endpoint),
+            QuarantineRecord::EndpointEnded { endpoint, .. } => merge_exit(entry, &endpoint),
         }
     }
 }
 
-fn learn_ended(entry: &Entry, ended: &Incarnation) {
-    let born = entry.registry.borrow().born(ended.name());
-    let has_started_again = ended.born() > 0 && born > ended.born();
-    if has_started_again {
+fn merge_exit(entry: &Entry, incarnation: &Incarnation) {
+    let born = entry.registry.borrow().born(incarnation.name());
+    let has_restarted = incarnation.born() > 0 && born > incarnation.born();
+    if has_restarted {
         return;
     }
-    let endpoint = entry.registered.borrow().get(ended.name()).copied();
+    let endpoint = entry.registered.borrow().get(incarnation.name()).copied();
     if let Some(endpoint) = endpoint {
-        Line::new("endpoint_ended_told").with("replica", ended).info();
+        Line::new("endpoint_ended_told").with("replica", incarnation).info();
         entry.update_pool(|pool, now, out| pool.record_exit(now, endpoint, out));
     }
 }
--- a/crates/vaneway-server/src/core/queue_limit.rs
+++ b/crates/vaneway-server/src/core/queue_limit.rs
@@ -1,11 +1,13 @@
-//! When an engine's queue is too long for a request, as an entry box knows it.
+//! Limits the engine queue in front of a request, as far as an entry box knows the queues.
 //!
-//! Why: what is sent to an engine beyond what it can read in time waits there until it is too late, and is read all
-//! the same. In a shortage hardly anything is in time then, although the engines are never idle. A request that
-//! can't be in time is better refused at once, while its caller has the time to come again.
+//! An engine processes every prompt that it is sent, also those that have waited until they are too
+//! late. In a shortage hardly any response would be in time then, although the engines are never
+//! idle. A request that can't be in time is therefore refused at once, while its caller still has
+//! the time to retry.
 //!
-//! Data flow: the engines' speed is learned from this box's own runs; the queues are those that boxes tell each
-//! other; what all boxes bring before they hear of each other is taken to be like what comes here.
+//! Data flow: the engines' speed is measured on this box's own runs; the queues are those that
+//! boxes report to each other; the arrivals at all boxes that are not reported yet are estimated
+//! from the arrivals here.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,35 +23,38 @@
 use crate::core::entry::Entry;
 use crate::util::clock;
 
-/// Part of the time to a request's objective that the work before it may take.
+/// Share of the time to a request's latency objective that the work queued before it may take.
 ///
-/// The rest is for its own prompt and the way. Simulated (50 of 60 engines vanish within 8 s under 69 boxes), the worth in time of
-/// what any scheduler could have brought: 0.10 without a limit, 0.86 with 1.0, 0.92 with 0.8, 0.89 with 0.6, 0.78 with 0.25.
+/// The rest is for its own prompt and the network delay. In a simulation (50 of 60 engines vanish
+/// within 8 s, 69 boxes), the value delivered in time, relative to what any scheduler could have
+/// delivered, was 0.10 without a limit, 0.86 with 1.0, 0.92 with 0.8, 0.89 with 0.6 and 0.78 with
+/// 0.25.
 pub const MAX_QUEUE_SHARE: f64 = 0.8;
 
-/// Age of what boxes know of each other's work: one telling to a control box, one from it, and the ways.
-const NEWS_AGE: Duration = LOAD_REPORT_INTERVAL.saturating_mul(2);
+/// Age of what boxes know of each other's work: one report interval to a control box, one from it,
+/// and network delay.
+const LOAD_UPDATE_AGE: Duration = LOAD_REPORT_INTERVAL.saturating_mul(2);
 
-/// Prompt tokens that callers ask to be read, by service.
+/// Prompt tokens of arriving requests, by service.
 #[derive(Debug, Default)]
 pub struct Inflow(RefCell<BTreeMap<ServiceId, DecayingSum>>);
 
 impl Inflow {
-    /// Counts a request that comes.
+    /// Counts the prompt tokens of an arriving request that it doesn't share with others.
     pub fn count(&self, now: Instant, service: ServiceId, work: &Work) {
         let shared: u32 = work.shared().iter().map(|part| part.tokens).sum();
         let own = work.prompt_tokens.saturating_sub(shared);
         self.0.borrow_mut().entry(service).or_default().add(now, own.into());
     }
 
-    /// Tokens a second, of late.
+    /// Recent arrival rate, in tokens per second.
     fn rate(&self, now: Instant, service: ServiceId) -> f64 {
         self.0.borrow().get(&service).map_or(0.0, |inflow| inflow.rate(now))
     }
 }
 
-/// When the first event of a request has to come that is to be in time until `by`; none if the speed of its
-/// service's engines is not known.
+/// The limit on the queue in front of a request whose first event is due at `by`; none while the
+/// speed of its service's engines is unknown.
 pub fn queue_limit(
     entry: &Entry,
     service: ServiceId,
@@ -65,6 +70,6 @@
     Some(QueueLimit {
         seconds_per_token,
         max_wait: by.saturating_duration_since(now).mul_f64(MAX_QUEUE_SHARE),
-        unreported_tokens: entry.inflow.rate(now, service) * boxes * NEWS_AGE.as_secs_f64(),
+        unreported_tokens: entry.inflow.rate(now, service) * boxes * LOAD_UPDATE_AGE.as_secs_f64(),
     })
 }
--- a/crates/vaneway-server/src/core/quota_ledger.rs
+++ b/crates/vaneway-server/src/core/quota_ledger.rs
@@ -1,10 +1,11 @@
-//! What entry boxes took of quotas, as a control box adds it up, without I/O.
+//! Quota usage of all entry boxes, summed up at a control box, without I/O.
 //!
-//! Why sums that are kept: a control box tells them some times a second, and whole to each entry box that
-//! connects, while all slots of all boxes are a hundred thousand numbers. Added up anew for each one that
-//! connected, they took 60% of the processor time of a control box to which 300 entry boxes came back at once.
+//! The sums are maintained incrementally: a control box sends them several times a second, and in
+//! full to each entry box that connects, while all slots of all boxes are a hundred thousand
+//! numbers. Summed up anew for each box that connected, they took 60% of the processor time of a
+//! control box to which 300 entry boxes reconnected at once.
 //!
-//! What is told of a slot only grows, so a report may come twice or late.
+//! The usage that is reported for a slot only grows, so a report may be repeated or late.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,52 +14,53 @@
 use vaneway_quota::RETAINED_SLOTS;
 use vaneway_quota::Slot;
 
-use crate::core::cluster_time::AHEAD_MOST;
 use crate::core::cluster_time::ClusterNow;
+use crate::core::cluster_time::MAX_AHEAD;
 use crate::core::entry_incarnation::EntryIncarnation;
 use crate::core::quota_usage::OthersQuotaUsage;
 use crate::core::quota_usage::OwnQuotaUsage;
 
-/// Slots of quotas that a control box remembers.
-const LEDGER_SLOTS: usize = RETAINED_SLOTS as usize + 4;
+/// Number of quota slots that a control box retains.
+const RETAINED_LEDGER_SLOTS: usize = RETAINED_SLOTS as usize + 4;
 
-/// Units of each organisation.
+/// Units by organisation.
 type Units = BTreeMap<String, u64>;
 
-/// What all entry boxes told one control box of quotas.
+/// Quota usage as all entry boxes reported it to one control box.
 #[derive(Debug, Default)]
 pub struct QuotaLedger {
-    /// What each start of an entry box told.
-    told: BTreeMap<EntryIncarnation, Told>,
-    /// The sums of all of them.
+    /// Reported usage by incarnation of an entry box.
+    by_incarnation: BTreeMap<EntryIncarnation, ReportedUsage>,
+    /// The sums over all incarnations.
     totals: BTreeMap<Slot, Units>,
-    /// The first slot of which more was told since it was last asked for.
+    /// The first slot for which the usage has grown since the last call of
+    /// [`QuotaLedger::first_slot_to_send`].
     grown_from: Option<Slot>,
     demands: BTreeMap<String, Demand>,
 }
 
-/// What one start of an entry box told.
+/// Quota usage as one incarnation of an entry box reported it.
 #[derive(Debug, Default)]
-struct Told {
-    /// Units that it was asked for since it started.
-    asked: Units,
-    /// Units that it took.
-    taken: BTreeMap<Slot, Units>,
+struct ReportedUsage {
+    /// Units requested since it started, admitted or not.
+    requested: Units,
+    /// Units admitted, by slot.
+    admitted: BTreeMap<Slot, Units>,
 }
 
-/// What all entry boxes took of each organisation's quota, and were asked for.
+/// Usage of each organisation's quota over all entry boxes.
 pub type QuotaTotals = BTreeMap<String, QuotaTotal>;
 
-/// What all entry boxes took of an organisation's quota.
+/// Usage of one organisation's quota over all entry boxes.
 #[derive(Debug, Clone, Default)]
 pub struct QuotaTotal {
-    /// Units that they were asked for in a second, admitted or not.
+    /// Units requested per second, admitted or not.
     pub demand: u64,
-    /// Units by slot.
+    /// Units admitted, by slot.
     pub slots: BTreeMap<Slot, u64>,
 }
 
-/// Raises what is known of an organisation to `units`; returns by how much.
+/// Raises the known usage of an organisation to `units` if it was less; returns the increase.
 fn raise(known: &mut Units, organisation: &str, units: u64) -> u64 {
     if let Some(before) = known.get_mut(organisation) {
         let more = units.saturating_sub(*before);
@@ -70,30 +72,31 @@
 }
 
 impl QuotaLedger {
-    /// Takes in what an entry box told.
+    /// Merges the usage that an entry box reported.
     pub(super) fn merge(
         &mut self,
         now: ClusterNow,
         entry: &EntryIncarnation,
         quotas: &[(String, OwnQuotaUsage)],
     ) {
-        // What was asked for before this box heard of the entry for the first time says nothing of now.
-        let is_new = !self.told.contains_key(entry);
+        // The first cumulative count that is received from an entry box covers an unknown period,
+        // so it is not counted as present demand.
+        let is_new = !self.by_incarnation.contains_key(entry);
         if is_new {
-            self.told.insert(entry.clone(), Told::default());
+            self.by_incarnation.insert(entry.clone(), ReportedUsage::default());
         }
-        let Some(told) = self.told.get_mut(entry) else { return };
+        let Some(reported) = self.by_incarnation.get_mut(entry) else { return };
         for (organisation, report) in quotas {
-            let units = raise(&mut told.asked, organisation, report.asked);
+            let units = raise(&mut reported.requested, organisation, report.asked);
             if units > 0 && !is_new {
                 let demand = self.demands.entry(organisation.clone()).or_default();
                 demand.add(now.time, units as f64);
             }
             for (slot, units) in &report.slots {
-                if *slot > now.slot + AHEAD_MOST {
+                if *slot > now.slot + MAX_AHEAD {
                     continue;
                 }
-                let known = told.taken.entry(*slot).or_default();
+                let known = reported.admitted.entry(*slot).or_default();
                 let more = raise(known, organisation, *units);
                 if more > 0 {
                     let total = self.totals.entry(*slot).or_default();
@@ -102,35 +105,40 @@
                 }
             }
         }
-        while self.totals.len() > LEDGER_SLOTS {
+        while self.totals.len() > RETAINED_LEDGER_SLOTS {
             self.totals.pop_first();
         }
-        // Of a slot that is forgotten in the sums, nothing may be taken for news either.
+        // Slots that the sums no longer hold must not be counted as new usage if they are reported
+        // again.
         let first = self.totals.first_key_value().map_or(0, |(slot, _)| *slot);
-        while told.taken.first_key_value().is_some_and(|(slot, _)| *slot < first) {
-            told.taken.pop_first();
+        while reported.admitted.first_key_value().is_some_and(|(slot, _)| *slot < first) {
+            reported.admitted.pop_first();
         }
     }
 
-    /// Forgets the starts of entry boxes for which `kept` does not hold, once nothing of what they took is
-    /// in the sums any more: told again, it would be added again.
-    pub(super) fn forget(&mut self, kept: impl Fn(&EntryIncarnation) -> bool) {
+    /// Removes the incarnations of entry boxes for which `is_tracked` does not hold, once the sums
+    /// contain nothing of their usage: until then, a repeated report would be added a second time.
+    pub(super) fn expire(&mut self, is_tracked: impl Fn(&EntryIncarnation) -> bool) {
         let first = self.totals.first_key_value().map_or(0, |(slot, _)| *slot);
-        self.told.retain(|entry, told| kept(entry) || told.taken.range(first..).next().is_some());
+        self.by_incarnation.retain(|entry, reported| {
+            is_tracked(entry) || reported.admitted.range(first..).next().is_some()
+        });
     }
 
-    /// The first slot to tell now, where each telling repeats so many of the latest: earlier ones too if more of
-    /// them was told since the last call. An entry box that was cut off tells late, and the others must hear of
-    /// it at once.
+    /// The first slot of the next update. Each update repeats the latest `repeated` slots, and
+    /// earlier ones too if their usage has grown since the last call: an entry box that was cut off
+    /// reports late, and the other boxes must learn of its usage at once.
     pub fn first_slot_to_send(&mut self, repeated: u64) -> Slot {
         let last = self.totals.last_key_value().map_or(0, |(slot, _)| *slot);
         let latest = last.saturating_sub(repeated);
         self.grown_from.take().map_or(latest, |grown| grown.min(latest))
     }
 
-    /// Units that all entry boxes took, in the slots from `first` on, of each organisation that took or wanted any.
+    /// Usage over all entry boxes in the slots from `first` on, of each organisation with usage or
+    /// demand.
     pub fn totals(&self, now: Duration, first: Slot) -> QuotaTotals {
-        // An organisation that is refused everything is told of too: what it asks for decides.
+        // Includes organisations whose requests are all refused: their demand determines how much
+        // is admitted.
         let wanted = self.demands.iter().filter(|(_, demand)| demand.rate(now) >= 1.0);
         let with_demand = |(organisation, demand): (&String, &Demand)| {
             let demand = demand.rate(now).round() as u64;
@@ -150,21 +158,21 @@
         totals
     }
 
-    /// Units that the boxes but `entry` took in the slots from `first` on.
+    /// Usage over all entry boxes but `entry` in the slots from `first` on.
     pub fn others(
         &self,
         now: Duration,
         first: Slot,
         entry: &EntryIncarnation,
     ) -> Vec<(String, OthersQuotaUsage)> {
-        let taken = self.told.get(entry).map(|told| &told.taken);
-        let own = |slot: Slot, organisation: &str| taken?.get(&slot)?.get(organisation).copied();
-        let rest = |(organisation, total): (String, QuotaTotal)| {
+        let admitted = self.by_incarnation.get(entry).map(|reported| &reported.admitted);
+        let own = |slot: Slot, organisation: &str| admitted?.get(&slot)?.get(organisation).copied();
+        let others = |(organisation, total): (String, QuotaTotal)| {
             let without_own =
                 |(slot, units)| (slot, units - own(slot, &organisation).unwrap_or_default());
             let slots = total.slots.into_iter().map(without_own).collect();
             (organisation, OthersQuotaUsage { demand: total.demand, slots })
         };
-        self.totals(now, first).into_iter().map(rest).collect()
+        self.totals(now, first).into_iter().map(others).collect()
     }
 }
--- a/crates/vaneway-server/src/core/quota_usage.rs
+++ b/crates/vaneway-server/src/core/quota_usage.rs
@@ -1,4 +1,4 @@
-//! What entry and control boxes tell each other of quotas.
+//! Quota usage in the messages between entry and control boxes.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,20 +7,20 @@
 /// Quota units by slot.
 pub type SlotUnits = Vec<(Slot, u64)>;
 
-/// What one entry box tells of an organisation's quota.
+/// Usage of an organisation's quota at one entry box, as it reports it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnQuotaUsage {
-    /// Units that it was asked for since it started, admitted or not.
+    /// Units requested since it started, admitted or not.
     pub asked: u64,
-    /// Units that it took.
+    /// Units admitted, by slot.
     pub slots: SlotUnits,
 }
 
-/// What a control box tells of an organisation's quota.
+/// Usage of an organisation's quota at the other entry boxes, as a control box sends it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OthersQuotaUsage {
-    /// Units that all entry boxes were asked for in a second, admitted or not.
+    /// Units per second that were requested at all entry boxes together, admitted or not.
     pub demand: u64,
-    /// Units that the others took.
+    /// Units that the other entry boxes admitted, by slot.
     pub slots: SlotUnits,
 }
--- a/crates/vaneway-server/src/core/quotas.rs
+++ b/crates/vaneway-server/src/core/quotas.rs
@@ -1,10 +1,11 @@
 //! The quotas of organisations at one entry box.
 //!
-//! Data flow: a configuration sets the limits ([`Quotas::configure`]); each request is charged before it goes
-//! to an endpoint ([`Quotas::charge`]); what this box took travels to the control boxes ([`Quotas::own_usage`]),
-//! and what the others took comes from them ([`Quotas::apply_update`]). [`vaneway_quota`] decides.
+//! Data flow: a configuration sets the limits ([`Quotas::configure`]); each request is charged
+//! before it is sent to an endpoint ([`Quotas::charge`]); this box's usage is reported to the
+//! control boxes ([`Quotas::own_usage`]), which send the usage of the others
+//! ([`Quotas::apply_update`]). The decisions are made in [`vaneway_quota`].
 //!
-//! Every change of a limit is logged, and at level `debug` each decision with what it went by.
+//! Every change of a limit is logged, and at level `debug` each decision with its inputs.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -26,36 +27,39 @@
 use crate::util::hash;
 use crate::util::logline::Line;
 
-/// Part of what operators allow beyond quotas that is used for bursts. The rest is for what boxes admit
-/// before they have heard of each other: with 0.5, 4 of 800 random schedules of cuts, restarts and floods let
-/// an organisation take up to 1.017 of what is allowed; with 0.4, 2 up to 1.004.
-const BURST_PART: f64 = 0.4;
+/// Share of the excess over quotas allowed by the operators that is granted as additional burst.
+/// The rest covers what boxes admit before they have received each other's usage: with 0.5, 4 of
+/// 800 random schedules of network cuts, restarts and floods let an organisation take up to 1.017
+/// of what is allowed; with 0.4, 2 of them let it take up to 1.004.
+const BURST_SHARE: f64 = 0.4;
 
-/// The quotas of organisations at one entry box. All times are the cluster's, since 1970.
+/// The quotas of organisations at one entry box. All times are cluster time since 1970.
 #[derive(Debug)]
 pub struct Quotas {
     allowance: Option<QuotaAllowance>,
     by_organisation: RefCell<BTreeMap<String, OrganisationQuota>>,
-    /// Until when the use of all boxes was known at the latest telling that said so, and who shared the quotas.
-    heard: Cell<Option<(Duration, Sharers)>>,
+    /// From the latest update that stated it: the time until which the usage of all boxes was
+    /// known, and how many boxes shared the quotas.
+    last_update: Cell<Option<(Duration, Sharers)>>,
 }
 
 /// The quota of one organisation.
 #[derive(Debug)]
 struct OrganisationQuota {
     quota: Quota,
-    /// Whether the configuration in force limits the organisation. One that returns within seconds finds
-    /// what it took before.
+    /// Whether the configuration in force limits the organisation. The quota of an organisation
+    /// that was removed is kept for some seconds, so that its usage still counts if it returns.
     in_force: bool,
 }
 
 impl Quotas {
-    /// Quotas before there is a configuration; operators allow `allowance` beyond each, if anything.
+    /// Quotas before the first configuration; operators allow an excess of `allowance` over each,
+    /// if any.
     pub fn new(allowance: Option<QuotaAllowance>) -> Self {
-        Self { allowance, by_organisation: RefCell::default(), heard: Cell::default() }
+        Self { allowance, by_organisation: RefCell::default(), last_update: Cell::default() }
     }
 
-    /// Puts the limits of a configuration in force.
+    /// Applies the limits of a configuration.
     pub fn configure<'a>(
         &self,
         now: Duration,
@@ -66,7 +70,7 @@
         for known in quotas.values_mut() {
             known.in_force = false;
         }
-        for (name, limit) in organisations.into_iter().filter_map(|o| self.limited(o)) {
+        for (name, limit) in organisations.into_iter().filter_map(|o| self.limit_of(o)) {
             let before = quotas.get(name).map(|known| known.quota.limit());
             let known = quotas.entry(name.to_owned()).or_insert_with(|| self.new_quota(now, limit));
             known.in_force = true;
@@ -78,34 +82,34 @@
         quotas.retain(|_, known| known.in_force || !known.quota.is_idle(now));
     }
 
-    /// The quota of an organisation that is new: nobody has taken any of it.
+    /// The quota of a new organisation, which has no usage yet.
     fn new_quota(&self, now: Duration, limit: Limit) -> OrganisationQuota {
         let mut quota = Quota::new(limit);
-        if let Some((as_of, sharers)) = self.heard.get() {
+        if let Some((as_of, sharers)) = self.last_update.get() {
             quota.update_fleet_usage(now, Some(FleetUsage { as_of, demand: 0.0 }), sharers);
         }
         OrganisationQuota { quota, in_force: true }
     }
 
-    /// The limit of an organisation that has one.
-    fn limited<'a>(&self, spec: &'a OrganisationSpec) -> Option<(&'a str, Limit)> {
+    /// The name and limit of an organisation, if it is limited.
+    fn limit_of<'a>(&self, spec: &'a OrganisationSpec) -> Option<(&'a str, Limit)> {
         let rate = spec.rate?;
         let burst = spec.burst + self.burst_allowance(rate, spec.burst);
         Some((spec.name.as_str(), Limit { rate, burst }))
     }
 
-    /// Units that may be taken at once beyond a quota's burst.
+    /// Units that may be taken at once in addition to a quota's burst.
     fn burst_allowance(&self, rate: f64, burst: f64) -> f64 {
         let Some(allowed) = self.allowance else { return 0.0 };
         let measured = rate.mul_add(allowed.window.as_secs_f64(), burst);
-        measured.mul_add(allowed.overage, allowed.slack) * BURST_PART
+        measured.mul_add(allowed.overage, allowed.slack) * BURST_SHARE
     }
 
     /// Charges an organisation for a request.
     ///
     /// # Errors
     ///
-    /// The time after which its quota allows the request.
+    /// Returns the time after which the quota allows the request.
     pub fn charge(
         &self,
         now: Duration,
@@ -117,7 +121,8 @@
         let limited = quotas.get_mut(organisation).filter(|known| known.in_force);
         let Some(OrganisationQuota { quota, .. }) = limited else { return Ok(()) };
         let view = Line::debug_enabled().then(|| quota.view(now));
-        // Not by the id alone: its hash also chooses the time to come back.
+        // The draw must not depend on the request id alone: the hash of the id also determines the
+        // time after which the caller is to retry.
         let charged = quota.take(now, units, hash::fraction((request, organisation)));
         if let Some(view) = view {
             charge_line(request, organisation, units, &view, charged.is_ok()).debug();
@@ -125,24 +130,24 @@
         charged
     }
 
-    /// Gives back what a request was charged that did not run.
+    /// Returns the units that were charged for a request that did not run.
     pub fn give_back(&self, now: Duration, organisation: &str, units: u64) {
         if let Some(known) = self.by_organisation.borrow_mut().get_mut(organisation) {
             known.quota.refund(now, units);
         }
     }
 
-    /// Learns what the other entry boxes took until `as_of`, and which boxes share the quotas. An
-    /// organisation that isn't told of took nothing lately and was asked for nothing.
+    /// Applies the usage of the other entry boxes until `as_of`, and how many boxes share the
+    /// quotas. An organisation that `usage` does not contain had neither usage nor demand recently.
     pub fn apply_update(
         &self,
         now: Duration,
         as_of: Option<Duration>,
         sharers: Sharers,
-        told: &[(String, OthersQuotaUsage)],
+        usage: &[(String, OthersQuotaUsage)],
     ) {
         if let Some(as_of) = as_of {
-            let before = self.heard.replace(Some((as_of, sharers)));
+            let before = self.last_update.replace(Some((as_of, sharers)));
             if before.is_none() {
                 let Sharers { reporting, known } = sharers;
                 Line::new("quotas_heard").with("heard", reporting).with("known", known).info();
@@ -150,7 +155,7 @@
         }
         let mut quotas = self.by_organisation.borrow_mut();
         let mut demands = BTreeMap::new();
-        for (organisation, others) in told {
+        for (organisation, others) in usage {
             demands.insert(organisation.as_str(), others.demand);
             if let Some(known) = quotas.get_mut(organisation) {
                 known.quota.record_others_usage(now, &others.slots);
@@ -166,28 +171,29 @@
         }
     }
 
-    /// Entry boxes that there may be, as was last told; 0 if it never was.
+    /// Number of entry boxes that may be running, by the latest update; 0 before the first one.
     pub fn known_entry_boxes(&self) -> u32 {
-        self.heard.get().map_or(0, |(_, sharers)| sharers.known)
+        self.last_update.get().map_or(0, |(_, sharers)| sharers.known)
     }
 
-    /// Whether the others' use has been heard of since this box started, if there are quotas.
+    /// Whether the others' usage has been received since this box started, or there are no quotas.
     pub fn are_synced(&self) -> bool {
-        self.heard.get().is_some() || self.by_organisation.borrow().is_empty()
+        self.last_update.get().is_some() || self.by_organisation.borrow().is_empty()
     }
 
-    /// What this box took of each quota in the slots from `first` on, and what it was asked for: of those that
-    /// it was asked for lately, or of all since it started, for a control box that has not heard of it before.
+    /// This box's usage of each quota in the slots from `first` on, and the units requested. Covers
+    /// the organisations with recent demand; if `all`, those with any demand since this box
+    /// started, for a control box that has no report of this box yet.
     pub fn own_usage(&self, now: Duration, first: Slot, all: bool) -> Vec<(String, OwnQuotaUsage)> {
         let quotas = self.by_organisation.borrow();
-        let asked = quotas.iter().filter(|(_, known)| {
+        let active = quotas.iter().filter(|(_, known)| {
             known.quota.has_unreported_demand(now) || all && known.quota.requested_units() > 0
         });
         let use_of = |(name, known): (&String, &OrganisationQuota)| {
             let slots = known.quota.own_usage_since(first).collect();
             (name.clone(), OwnQuotaUsage { asked: known.quota.requested_units(), slots })
         };
-        asked.map(use_of).collect()
+        active.map(use_of).collect()
     }
 }
 
@@ -207,7 +213,7 @@
     organisation: &str,
     units: u64,
     view: &QuotaView,
-    taken: bool,
+    admitted: bool,
 ) -> Line {
     let age = view.usage_age.map_or_else(|| "never".to_owned(), |age| age.as_millis().to_string());
     Line::new("quota_charged")
@@ -220,5 +226,5 @@
         .with("heard", view.sharers.reporting)
         .with("known", view.sharers.known)
         .with("whole", view.is_fleet_wide)
-        .with("taken", taken)
+        .with("taken", admitted)
 }
