--- a/crates/vaneway-server/src/core/report_tracker.rs
+++ b/crates/vaneway-server/src/core/report_tracker.rs
@@ -1,7 +1,10 @@
-//! Whose news a control box has and how old they are, without I/O.
+//! Tracks which entry boxes report to a control box and how old their last reports are, without
+//! I/O.
 //!
-//! Why: who is connected need not be heard, and what isn't heard is unknown, never nothing. A decision for the whole
-//! deployment goes by [`ReportCoverage`]: how many entry boxes were heard, for how long, and how many should have been.
+//! An entry box that is connected may still not be reporting, and what an entry box has not
+//! reported is unknown rather than zero. A decision for the whole deployment is therefore based on
+//! [`ReportCoverage`]: how many entry boxes are reporting, since when, and how many there should
+//! be.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,129 +15,139 @@
 use crate::core::cluster_time::ClusterNow;
 use crate::core::entry_incarnation::EntryIncarnation;
 
-/// Age of a report up to which an entry box counts as heard by those that share quotas: two tellings and the way. Who
-/// isn't heard keeps its part of each quota, so that none of the others takes it.
-const SHARES_WITHIN: Duration = Duration::from_millis(250);
+/// Age up to which the last report of an entry box lets it count among those that share quotas: two
+/// report intervals and the network delay. An entry box whose report is older keeps its share of
+/// each quota, so that none of the others takes that share.
+const SHARER_REPORT_MAX_AGE: Duration = Duration::from_millis(250);
 
-/// Age of the last report from which on an entry box isn't heard: many tellings.
-const HEARD_WITHIN: Duration = Duration::from_secs(1);
+/// Age of the last report from which on an entry box counts as not reporting: many report
+/// intervals.
+const REPORT_MAX_AGE: Duration = Duration::from_secs(1);
 
-/// Slots by which the cluster's time may go on between two reports of any entry box. By more, or back, the time
-/// stepped or the box was held up, and what it counted by slots doesn't stand where it belongs.
-const SLOTS_BETWEEN: u64 = 2;
+/// Number of slots by which cluster time may advance between two consecutive reports of any entry
+/// boxes. If it advances by more, or goes back, the clock has stepped or this box was stalled, and
+/// the usage that was counted by slot is not assigned to the right slots.
+const MAX_SLOT_ADVANCE: u64 = 2;
 
-/// Slots of silence after which a start of an entry box is forgotten: half a minute, longer than a
-/// window may still be reported, and than a box that was cut off may come back with.
-const STARTS_KEPT: u64 = 60;
+/// Number of slots without a report after which an incarnation of an entry box is removed: half a
+/// minute, longer than a window may still be reported late, and longer than an entry box may be cut
+/// off and still deliver its report.
+const INCARNATION_RETENTION_SLOTS: u64 = 60;
 
-/// When each start of an entry box told anything.
+/// The reports received from each incarnation of an entry box.
 #[derive(Debug, Default)]
 pub struct ReportTracker {
-    told: BTreeMap<EntryIncarnation, Told>,
-    /// Entry boxes that have told all that they ever will, and when they last told.
+    by_incarnation: BTreeMap<EntryIncarnation, Reports>,
+    /// Entry boxes that have sent their final report, with the slot of that report.
     done: BTreeMap<String, Slot>,
-    /// The slot of the last report of any.
-    latest: Slot,
-    /// The slot from which on reports came without a break.
-    unbroken_since: Slot,
+    /// The slot of the latest report of any entry box.
+    latest_slot: Slot,
+    /// The slot since which reports have arrived without a gap.
+    continuous_since: Slot,
 }
 
-/// When a start of an entry box told anything.
+/// The reports received from one incarnation of an entry box.
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct Reports {
     /// The slot of its first report.
-    first: Slot,
+    first_slot: Slot,
     /// The slot of its last report.
-    slot: Slot,
-    /// When its last report came.
-    came: Duration,
-    /// When that was made, if the entry box knew the cluster's time.
-    made: Option<Duration>,
+    last_slot: Slot,
+    /// Cluster time at which its last report arrived.
+    received_at: Duration,
+    /// Cluster time at which its last report was made, if the entry box knew the cluster time.
+    made_at: Option<Duration>,
 }
 
-/// What a decision that goes by reports of the entry boxes rests on.
+/// How many entry boxes a decision's data comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportCoverage {
-    /// Entry boxes that are heard.
+    /// Entry boxes that are reporting.
     pub reporting: u32,
-    /// Those of them that were heard over all of the time in question.
+    /// Those of them that were reporting over the whole period in question.
     pub reporting_throughout: u32,
-    /// Entry boxes that may be there.
+    /// Entry boxes that may be running.
     pub known: u32,
-    /// Age of the oldest of the last reports of those that are heard.
+    /// Age of the oldest among the last reports of the boxes that are reporting.
     pub oldest_age: Duration,
 }
 
 impl ReportCoverage {
-    /// Whether all were heard over all of the time; not if there are none, since nothing is known then.
+    /// Whether all entry boxes reported over the whole period. False if none did, since nothing is
+    /// known then.
     pub fn is_complete(&self) -> bool {
         self.reporting_throughout > 0 && self.reporting_throughout >= self.known
     }
 }
 
 impl ReportTracker {
-    /// Learns that a report came at `now` that was `made` when the entry box says.
-    pub fn learn(&mut self, now: ClusterNow, entry: &EntryIncarnation, made: Option<Duration>) {
-        if now.slot < self.latest || now.slot > self.latest + SLOTS_BETWEEN {
-            self.unbroken_since = now.slot;
+    /// Records a report that arrived at `now`; the entry box states that it was made at `made_at`.
+    pub fn record(&mut self, now: ClusterNow, entry: &EntryIncarnation, made_at: Option<Duration>) {
+        if now.slot < self.latest_slot || now.slot > self.latest_slot + MAX_SLOT_ADVANCE {
+            self.continuous_since = now.slot;
         }
-        self.latest = now.slot;
-        let first = self.told.get(entry).map_or(now.slot, |told| told.first);
-        let told = Told { first, slot: now.slot, came: now.time, made };
-        self.told.insert(entry.clone(), told);
+        self.latest_slot = now.slot;
+        let first_slot =
+            self.by_incarnation.get(entry).map_or(now.slot, |reports| reports.first_slot);
+        let reports = Reports { first_slot, last_slot: now.slot, received_at: now.time, made_at };
+        self.by_incarnation.insert(entry.clone(), reports);
     }
 
-    /// Learns that a start of an entry box has told all that it ever will.
-    pub fn end(&mut self, entry: &EntryIncarnation) {
-        if let Some(told) = self.told.remove(entry) {
-            self.done.insert(entry.0.clone(), told.slot);
+    /// Records that an incarnation of an entry box has sent its final report.
+    pub fn mark_done(&mut self, entry: &EntryIncarnation) {
+        if let Some(reports) = self.by_incarnation.remove(entry) {
+            self.done.insert(entry.0.clone(), reports.last_slot);
         }
     }
 
-    /// Forgets the starts that have been silent for long.
-    pub fn forget(&mut self, now: Slot) {
-        self.told.retain(|_, told| told.slot + STARTS_KEPT >= now);
-        self.done.retain(|_, slot| *slot + STARTS_KEPT >= now);
+    /// Removes the incarnations that have not reported for `INCARNATION_RETENTION_SLOTS` slots.
+    pub fn expire(&mut self, now: Slot) {
+        self.by_incarnation
+            .retain(|_, reports| reports.last_slot + INCARNATION_RETENTION_SLOTS >= now);
+        self.done.retain(|_, slot| *slot + INCARNATION_RETENTION_SLOTS >= now);
     }
 
-    /// Whether a start is remembered.
-    pub fn has(&self, entry: &EntryIncarnation) -> bool {
-        self.told.contains_key(entry)
+    /// Whether an incarnation is tracked.
+    pub fn contains(&self, entry: &EntryIncarnation) -> bool {
+        self.by_incarnation.contains_key(entry)
     }
 
-    /// Starts that are remembered.
+    /// Number of incarnations that are tracked.
     pub fn incarnations(&self) -> usize {
-        self.told.len()
+        self.by_incarnation.len()
     }
 
-    /// When the last report of an entry box was made that is recent at `now`; none if there is none, or if
-    /// the box's idea of the cluster's time is another.
+    /// When the last report of an entry box was made. None if there is no report that is recent at
+    /// `now`, or if the entry box's cluster time differs from this box's.
     pub fn last_report_at(&self, now: Duration, entry: &EntryIncarnation) -> Option<Duration> {
-        let made = self.told.get(entry)?.made?;
-        (now.abs_diff(made) <= SHARES_WITHIN).then_some(made)
+        let made_at = self.by_incarnation.get(entry)?.made_at?;
+        (now.abs_diff(made_at) <= SHARER_REPORT_MAX_AGE).then_some(made_at)
     }
 
-    /// Whether an entry box told something from the slot `begin` to `end`, and nothing since.
-    pub fn misses(&self, begin: Slot, end: Slot) -> bool {
-        self.told.values().any(|told| (begin..=end).contains(&told.slot))
+    /// Whether any entry box sent its last report in the slots `begin` to `end`.
+    pub fn awaits_reports(&self, begin: Slot, end: Slot) -> bool {
+        self.by_incarnation.values().any(|reports| (begin..=end).contains(&reports.last_slot))
     }
 
-    /// Entry boxes that told something after the slot `end`, or had told all that they ever will.
+    /// Number of entry boxes that reported after the slot `end` or have sent their final report.
     pub fn reporters_since(&self, end: Slot) -> u32 {
-        let since = self.told.iter().filter(|(_, told)| told.slot > end);
+        let since = self.by_incarnation.iter().filter(|(_, reports)| reports.last_slot > end);
         let since: BTreeSet<&String> = since.map(|((name, _), _)| name).collect();
         since.into_iter().chain(self.done.keys()).collect::<BTreeSet<_>>().len() as u32
     }
 
-    /// What is heard at `now` of `known` entry boxes; throughout is over the last `slots`.
-    pub fn news(&self, now: ClusterNow, slots: u64, known: u32) -> ReportCoverage {
-        let is_heard = |told: &&Told| now.time.abs_diff(told.came) <= HEARD_WITHIN;
-        let last = self.told.iter().map(|((name, _), told)| (name, told));
-        let reporting: BTreeMap<&String, &Told> = last.filter(|(_, told)| is_heard(told)).collect();
+    /// Which of the `known` entry boxes are reporting at `now`, and which were over all of the last
+    /// `slots`.
+    pub fn coverage(&self, now: ClusterNow, slots: u64, known: u32) -> ReportCoverage {
+        let is_reporting =
+            |reports: &&Reports| now.time.abs_diff(reports.received_at) <= REPORT_MAX_AGE;
+        let last = self.by_incarnation.iter().map(|((name, _), reports)| (name, reports));
+        let reporting: BTreeMap<&String, &Reports> =
+            last.filter(|(_, reports)| is_reporting(reports)).collect();
         let reporting_throughout = reporting
             .values()
-            .filter(|told| told.first.max(self.unbroken_since) + slots < now.slot);
-        let ages = reporting.values().map(|told| now.time.abs_diff(told.came));
+            .filter(|reports| reports.first_slot.max(self.continuous_since) + slots < now.slot);
+        let ages = reporting.values().map(|reports| now.time.abs_diff(reports.received_at));
         ReportCoverage {
             reporting: reporting.len() as u32,
             reporting_throughout: reporting_throughout.count() as u32,
--- a/crates/vaneway-server/src/core/retry_after.rs
+++ b/crates/vaneway-server/src/core/retry_after.rs
@@ -1,10 +1,12 @@
-//! Rest that endpoints ask for when they turn a request away.
+//! Back-off that endpoints request when they refuse a request.
 //!
-//! Why: an endpoint that is overloaded says for how long it wants nothing from the box that it has turned away. What is
-//! sent there meanwhile costs it work and the caller time, and is turned away as well.
+//! An overloaded endpoint states for how long it wants no requests from the box that it refused.
+//! Requests sent there meanwhile would cost the endpoint work and the caller time, and would be
+//! refused as well.
 //!
-//! Data flow: each refusal's head is read here ([`apply_refusal`]), and the pool keeps the endpoint out of every choice until its
-//! rest is over. The rest is between the endpoint and this box, so no other box is told.
+//! Data flow: the head of each refusal is read here ([`apply_refusal`]), and the pool doesn't
+//! choose the endpoint until the back-off is over. It holds between the endpoint and this box only,
+//! so it is not sent to other boxes.
 
 use std::time::Duration;
 
@@ -20,25 +22,27 @@
 use crate::util::clock;
 use crate::util::logline::Line;
 
-/// Longest rest that an endpoint gets: one that asks for more is asked again, or nobody would learn that it is well.
+/// Longest back-off that is applied. An endpoint that requests more is tried again after it, or
+/// nobody would notice that it has recovered.
 pub const MAX_BACKOFF: Duration = Duration::from_hours(1);
 
-/// Reads the rest that a refusal asks for, in seconds with or without a fraction; none if it asks for nothing. Of
-/// several the longest counts, and one over [`MAX_BACKOFF`] becomes that.
+/// Reads the back-off from a refusal's `Retry-After` headers, in seconds with or without a
+/// fraction; none if it requests none. Of several values the longest counts, up to [`MAX_BACKOFF`].
 ///
 /// # Errors
 ///
-/// If one of them is no number of seconds. A date is none: it would need clocks that agree.
+/// Fails if a value is not a number of seconds. Dates are not accepted, since they would need
+/// synchronised clocks.
 pub fn read_retry_after(headers: &HeaderMap) -> Result<Option<Duration>, NumberError> {
     let longest = parse_each(headers, &RETRY_AFTER, read_seconds)?.into_iter().max();
-    Ok(longest.filter(|rest| !rest.is_zero()))
+    Ok(longest.filter(|back_off| !back_off.is_zero()))
 }
 
 fn read_seconds(text: &str) -> Result<Duration, NumberError> {
     Ok(Duration::from_secs_f64(parse_number(text)?.min(MAX_BACKOFF.as_secs_f64())))
 }
 
-/// An endpoint's refusal of a request.
+/// A response by which an endpoint refuses a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Refusal<'a> {
     /// The endpoint that refused it.
@@ -47,23 +51,23 @@
     pub request: &'a str,
     /// The endpoint's service, for metrics.
     pub service: &'a str,
-    /// The answer's status.
+    /// Status of the response.
     pub status: StatusCode,
-    /// The answer's headers.
+    /// Headers of the response.
     pub headers: &'a HeaderMap,
 }
 
-/// Learns from a refusal which rest its endpoint wants from this box. Only a 503 speaks of the endpoint as a whole.
+/// Applies the back-off that a refusal requests. Only a 503 applies to the endpoint as a whole.
 pub fn apply_refusal(entry: &Entry, refusal: &Refusal<'_>) {
     if refusal.status != StatusCode::SERVICE_UNAVAILABLE {
         return;
     }
     match read_retry_after(refusal.headers) {
         Ok(None) => {}
-        Ok(Some(rest)) => {
-            entry.pool.borrow_mut().back_off(refusal.endpoint, clock::now() + rest);
+        Ok(Some(back_off)) => {
+            entry.pool.borrow_mut().back_off(refusal.endpoint, clock::now() + back_off);
             count(entry, refusal, "asked");
-            line(entry, "endpoint_asks_rest", refusal).with("rest_ms", rest.as_millis()).info();
+            line(entry, "endpoint_asks_rest", refusal).with("rest_ms", back_off.as_millis()).info();
         }
         Err(error) => {
             count(entry, refusal, "unreadable");
@@ -72,8 +76,8 @@
     }
 }
 
-fn count(entry: &Entry, refusal: &Refusal<'_>, what: &str) {
-    entry.metrics.rests.with_label_values(&[refusal.service, what]).inc();
+fn count(entry: &Entry, refusal: &Refusal<'_>, kind: &str) {
+    entry.metrics.backoffs.with_label_values(&[refusal.service, kind]).inc();
 }
 
 fn line(entry: &Entry, event: &str, refusal: &Refusal<'_>) -> Line {
--- a/crates/vaneway-server/src/core/route_table.rs
+++ b/crates/vaneway-server/src/core/route_table.rs
@@ -1,8 +1,9 @@
-//! The configuration in force at an entry box, in the form in which requests are looked up in it.
+//! The configuration in force at an entry box, indexed for looking up requests.
 //!
-//! Why persistent maps: each request goes by one version from its beginning to its end, so the version before must stay as it
-//! is while there are requests that began with it. The next one shares with it all that stays, so that a change of one route
-//! costs the same whether there are ten or thousands.
+//! The maps are persistent: each request uses one version from its beginning to its end, so a
+//! version must stay unchanged while requests that began with it are open. The next version shares
+//! all unchanged items with it, so a change of one route costs the same whether there are ten
+//! routes or thousands.
 
 use std::rc::Rc;
 
@@ -15,12 +16,12 @@
 use crate::core::configuration::ServiceSpec;
 use crate::core::configuration::Version;
 use crate::core::configuration_change::ConfigurationChange;
-use crate::core::configuration_change::Identified as _;
-use crate::core::configuration_change::RoutePlace;
-use crate::core::configuration_change::checksum_of;
-use crate::core::configuration_change::checksum_of_head;
+use crate::core::configuration_change::Keyed as _;
+use crate::core::configuration_change::RouteKey;
+use crate::core::configuration_change::header_checksum;
+use crate::core::configuration_change::item_checksum;
 
-/// A configuration as requests are looked up in it; clones share all of it.
+/// A configuration that is indexed for looking up requests; clones share their contents.
 #[derive(Debug, Clone)]
 pub struct RouteTable {
     version: Version,
@@ -28,9 +29,9 @@
     hosts: HashTrieMap<String, HostRoutes>,
     services: HashTrieMap<String, Rc<ServiceSpec>>,
     organisations: HashTrieMap<String, Rc<OrganisationSpec>>,
-    /// The organisations that hold keys.
+    /// The organisations by their keys.
     keys: HashTrieMap<String, Rc<OrganisationSpec>>,
-    /// Over all parts, as a change says what it makes.
+    /// Checksum of the configuration, which is compared with the one in a change.
     checksum: u32,
 }
 
@@ -38,12 +39,13 @@
 #[derive(Debug, Clone, Default)]
 struct HostRoutes {
     by_prefix: HashTrieMap<String, Rc<Route>>,
-    /// Bytes that no prefix has more of.
-    longest: usize,
+    /// Upper bound of the prefixes' lengths, in bytes.
+    longest_prefix: usize,
 }
 
 impl RouteTable {
-    /// Prepares a configuration that was checked.
+    /// Indexes a configuration, which must have passed
+    /// [`check`](crate::core::configuration::check).
     pub fn new(configuration: Configuration) -> Self {
         let Configuration { version, routes, services, limits, organisations } = configuration;
         let mut table = Self {
@@ -53,21 +55,21 @@
             services: HashTrieMap::new(),
             organisations: HashTrieMap::new(),
             keys: HashTrieMap::new(),
-            checksum: checksum_of_head(version, &limits),
+            checksum: header_checksum(version, &limits),
         };
         for route in routes {
-            table.put_route(route);
+            table.insert_route(route);
         }
         for service in services {
-            table.put_service(service);
+            table.insert_service(service);
         }
         for organisation in organisations {
-            table.put_organisation(organisation);
+            table.insert_organisation(organisation);
         }
         table
     }
 
-    /// What a change makes of this configuration; none if it was not made for it.
+    /// Applies a change to this configuration; none if the change was not made for it.
     pub fn changed(&self, change: &ConfigurationChange) -> Option<Self> {
         if change.base != self.version {
             return None;
@@ -75,60 +77,60 @@
         let mut table = self.clone();
         table.version = change.version;
         table.limits = change.limits;
-        table.subtract(checksum_of_head(self.version, &self.limits));
-        table.add(checksum_of_head(change.version, &change.limits));
-        // All that goes is taken out first: keys may pass from one organisation to another.
-        for place in change.routes.gone() {
-            table.take_route(&place);
+        table.subtract(header_checksum(self.version, &self.limits));
+        table.add(header_checksum(change.version, &change.limits));
+        // Removals come first: keys may move from one organisation to another.
+        for key in change.routes.stale_keys() {
+            table.remove_route(&key);
         }
-        for name in change.services.gone() {
-            table.take_service(&name);
+        for name in change.services.stale_keys() {
+            table.remove_service(&name);
         }
-        for name in change.organisations.gone() {
-            table.take_organisation(&name);
+        for name in change.organisations.stale_keys() {
+            table.remove_organisation(&name);
         }
-        for route in &change.routes.put {
-            table.put_route(route.clone());
+        for route in &change.routes.inserted {
+            table.insert_route(route.clone());
         }
-        for service in &change.services.put {
-            table.put_service(service.clone());
+        for service in &change.services.inserted {
+            table.insert_service(service.clone());
         }
-        for organisation in &change.organisations.put {
-            table.put_organisation(organisation.clone());
+        for organisation in &change.organisations.inserted {
+            table.insert_organisation(organisation.clone());
         }
         (table.checksum == change.checksum).then_some(table)
     }
 
-    fn put_route(&mut self, route: Route) {
-        self.add(checksum_of(&route));
-        let (host, prefix) = route.id();
+    fn insert_route(&mut self, route: Route) {
+        self.add(item_checksum(&route));
+        let (host, prefix) = route.key();
         let mut routes = self.hosts.get(&host).cloned().unwrap_or_default();
-        routes.longest = routes.longest.max(prefix.len());
+        routes.longest_prefix = routes.longest_prefix.max(prefix.len());
         routes.by_prefix.insert_mut(prefix, Rc::new(route));
         self.hosts.insert_mut(host, routes);
     }
 
-    fn take_route(&mut self, (host, prefix): &RoutePlace) {
+    fn remove_route(&mut self, (host, prefix): &RouteKey) {
         let Some(mut routes) = self.hosts.get(host).cloned() else { return };
         let Some(route) = routes.by_prefix.get(prefix).cloned() else { return };
-        self.subtract(checksum_of(&*route));
+        self.subtract(item_checksum(&*route));
         routes.by_prefix.remove_mut(prefix);
         self.hosts.insert_mut(host.clone(), routes);
     }
 
-    fn put_service(&mut self, service: ServiceSpec) {
-        self.add(checksum_of(&service));
+    fn insert_service(&mut self, service: ServiceSpec) {
+        self.add(item_checksum(&service));
         self.services.insert_mut(service.name.clone(), Rc::new(service));
     }
 
-    fn take_service(&mut self, name: &str) {
+    fn remove_service(&mut self, name: &str) {
         let Some(service) = self.services.get(name).cloned() else { return };
-        self.subtract(checksum_of(&*service));
+        self.subtract(item_checksum(&*service));
         self.services.remove_mut(name);
     }
 
-    fn put_organisation(&mut self, organisation: OrganisationSpec) {
-        self.add(checksum_of(&organisation));
+    fn insert_organisation(&mut self, organisation: OrganisationSpec) {
+        self.add(item_checksum(&organisation));
         let organisation = Rc::new(organisation);
         for key in &organisation.keys {
             self.keys.insert_mut(key.clone(), Rc::clone(&organisation));
@@ -136,9 +138,9 @@
         self.organisations.insert_mut(organisation.name.clone(), organisation);
     }
 
-    fn take_organisation(&mut self, name: &str) {
+    fn remove_organisation(&mut self, name: &str) {
         let Some(organisation) = self.organisations.get(name).cloned() else { return };
-        self.subtract(checksum_of(&*organisation));
+        self.subtract(item_checksum(&*organisation));
         for key in &organisation.keys {
             self.keys.remove_mut(key);
         }
@@ -153,27 +155,27 @@
         self.checksum = self.checksum.wrapping_sub(checksum);
     }
 
-    /// Its number.
+    /// Version of the configuration.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Limits on what callers send.
+    /// Limits on callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// The services, in no order.
+    /// The services, in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &ServiceSpec> {
         self.services.values().map(|service| &**service)
     }
 
-    /// Who may call, in no order; nobody if everyone may.
+    /// The organisations that may call, in no particular order; empty if anyone may.
     pub fn organisations(&self) -> impl Iterator<Item = &OrganisationSpec> {
         self.organisations.values().map(|organisation| &**organisation)
     }
 
-    /// How many routes there are.
+    /// Number of routes.
     pub fn routes(&self) -> usize {
         self.hosts.values().map(|routes| routes.by_prefix.size()).sum()
     }
@@ -182,10 +184,10 @@
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let routes = self.hosts.get(&host.to_ascii_lowercase())?;
-        // Every prefix ends with a slash, so only what ends with one of the path's is looked up; of a path without end
-        // no more than a prefix can have.
+        // Every prefix ends with a slash, so only the parts of the path that end with one are
+        // looked up, and of an overlong path none that is longer than the longest prefix.
         let ends = path.rmatch_indices('/').map(|(at, slash)| at + slash.len());
-        let mut ends = ends.skip_while(|end| *end > routes.longest);
+        let mut ends = ends.skip_while(|end| *end > routes.longest_prefix);
         ends.find_map(|end| routes.by_prefix.get(&path[..end])).map(|route| &**route)
     }
 
--- a/crates/vaneway-server/src/core/running.rs
+++ b/crates/vaneway-server/src/core/running.rs
@@ -1,4 +1,4 @@
-//! An entry as a running whole: how its parts start and how they stop.
+//! Starts and stops an entry box with its components.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,8 +19,8 @@
 use crate::core::cluster::follow;
 use crate::core::cluster::marks;
 use crate::core::cluster::wire::LOAD_REPORT_INTERVAL;
+use crate::core::entry::Components;
 use crate::core::entry::Entry;
-use crate::core::entry::Parts;
 use crate::core::entry::Phase;
 use crate::core::operators;
 use crate::core::settings::Settings;
@@ -31,9 +31,9 @@
 use crate::util::timers::Timers;
 
 /// How long a planned stop waits for connections to close once no request is open.
-const CLOSE_WITHIN: Duration = Duration::from_secs(2);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A running entry.
+/// A running entry box.
 #[derive(Debug)]
 pub struct RunningEntry {
     entry: Rc<Entry>,
@@ -41,24 +41,25 @@
     operators: SocketAddr,
     front: HttpServer,
     ready: Option<HttpServer>,
-    /// Dropped to end the expiry of leaving endpoints and the platform's client.
+    /// Tasks such as the expiry of leaving endpoints and the platform's client, which end when
+    /// these senders are dropped.
     background: Vec<oneshot::Sender<()>>,
 }
 
-/// Starts an entry on the current loop, with the product's own interface for callers.
+/// Starts an entry box on the current event loop, with vaneway's own interface for callers.
 ///
 /// # Errors
 ///
-/// If one of its addresses can't be bound.
+/// Fails if one of its addresses can't be bound.
 pub async fn spawn(settings: Settings) -> eyre::Result<RunningEntry> {
     spawn_with(settings, NativeCallers).await
 }
 
-/// Starts an entry on the current loop, with an interface for callers.
+/// Starts an entry box on the current event loop, with the given interface for callers.
 ///
 /// # Errors
 ///
-/// If one of its addresses can't be bound.
+/// Fails if one of its addresses can't be bound.
 pub async fn spawn_with<C: CallerProtocol>(
     settings: Settings,
     callers: C,
@@ -68,7 +69,7 @@
     let boot = clock::since_epoch().as_micros() as u64;
     let claims = open_claims(&settings, boot).await?;
     let cluster = bind_cluster(&settings, boot).await?;
-    let entry = Rc::new(Entry::new(settings, timers, Parts { claims, cluster, boot }));
+    let entry = Rc::new(Entry::new(settings, timers, Components { claims, cluster, boot }));
     let receiving = spawn_until_dropped(marks::receive(Rc::clone(&entry)));
     marks::catch_up(&entry).await;
     let listen = entry.settings.listen;
@@ -81,7 +82,7 @@
         .wrap_err_with(|| format!("failed to listen for operators on {listen}"))?;
     let background = vec![
         receiving,
-        spawn_until_dropped(marks::compare(Rc::clone(&entry))),
+        spawn_until_dropped(marks::exchange_digests(Rc::clone(&entry))),
         spawn_until_dropped(expire_leaving(Rc::clone(&entry))),
         spawn_until_dropped(expire_claims(Rc::clone(&entry))),
         spawn_until_dropped(follow::follow(Rc::clone(&entry))),
@@ -100,10 +101,11 @@
     Ok(RunningEntry { entry, listen, operators, front, ready, background })
 }
 
-/// Time in which the control boxes are told that this box is done: two rounds of telling.
-const DONE_TOLD_WITHIN: Duration = LOAD_REPORT_INTERVAL.saturating_mul(2);
+/// Time for the final report to reach the control boxes: two report intervals.
+const FINAL_REPORT_GRACE: Duration = LOAD_REPORT_INTERVAL.saturating_mul(2);
 
-/// Compiles the charts, so that a fault in one is found at start and not at the first request.
+/// Compiles the state charts, so that an error in one is found at start and not at the first
+/// request.
 fn check_charts() {
     let charts = [
         vaneway_route::endpoint_chart().name(),
@@ -113,8 +115,9 @@
     log::debug!("event=charts_checked charts={}", charts.join(","));
 }
 
-/// Opens the ledger of claims. A deployment of several boxes needs claims that all of them agree
-/// on; until there are, it keeps none and refuses the calls that need them.
+/// Opens the ledger of claims. A deployment of several boxes would need claims that are agreed on
+/// by all of them; as long as that isn't implemented, it keeps none and refuses the calls that need
+/// them.
 async fn open_claims(settings: &Settings, boot: u64) -> eyre::Result<Option<Claims>> {
     match &settings.data_folder {
         Some(folder) if settings.peers.is_empty() => {
@@ -124,14 +127,14 @@
     }
 }
 
-/// Binds the address where balancers ask for readiness, if it is one of its own.
+/// Binds the separate address for the readiness probes of load balancers, if there is one.
 fn bind_ready(entry: &Rc<Entry>) -> eyre::Result<Option<HttpServer>> {
     let Some(listen) = entry.settings.ready else { return Ok(None) };
     let bound = ready::bind(Rc::clone(entry), listen);
     bound.map(Some).wrap_err_with(|| format!("failed to listen for readiness on {listen}"))
 }
 
-/// Binds the socket to the other entry boxes.
+/// Binds the socket for the other entry boxes.
 async fn bind_cluster(settings: &Settings, seed: u64) -> eyre::Result<Option<Cluster>> {
     let Some(cluster) = &settings.cluster else { return Ok(None) };
     let context = || format!("failed to listen for peers on {}", cluster.listen);
@@ -142,22 +145,22 @@
     Ok(Some(bound))
 }
 
-/// Forgets claims that are older than the retention.
+/// Removes claims that are older than the retention.
 async fn expire_claims(entry: Rc<Entry>) {
-    /// Time between two looks; the retention is hours.
-    const LOOK_EVERY: Duration = Duration::from_mins(1);
+    /// Time between two checks; the retention is hours.
+    const CHECK_INTERVAL: Duration = Duration::from_mins(1);
     let Some(claims) = entry.claims.clone() else { return };
     while claims.expire().await.is_ok() {
-        entry.timers.sleep(LOOK_EVERY).await;
+        entry.timers.sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Lets leaving endpoints be gone when their time has come.
+/// Removes leaving endpoints when their time is over.
 async fn expire_leaving(entry: Rc<Entry>) {
-    /// Longest wait before looking again, since a notice can arrive meanwhile.
-    const LOOK_EVERY: Duration = Duration::from_millis(50);
+    /// Longest time until the next check, since a notice may arrive meanwhile.
+    const CHECK_INTERVAL: Duration = Duration::from_millis(50);
     loop {
-        entry.timers.sleep(LOOK_EVERY).await;
+        entry.timers.sleep(CHECK_INTERVAL).await;
         let due = entry.pool.borrow().next_deadline();
         if due.is_some_and(|at| at <= clock::now()) {
             entry.update_pool(Pool::expire);
@@ -166,12 +169,12 @@
 }
 
 impl RunningEntry {
-    /// Where callers connect.
+    /// Address for callers.
     pub fn listen(&self) -> SocketAddr {
         self.listen
     }
 
-    /// Where operators connect.
+    /// Address for operators.
     pub fn operators(&self) -> SocketAddr {
         self.operators
     }
@@ -181,9 +184,9 @@
         &self.entry
     }
 
-    /// Stops as planned: loses readiness, then refuses new work, and returns once every open
-    /// request has its answer. Returns the number of requests that were still open when the time
-    /// for that was over.
+    /// Performs a planned stop: loses readiness, then refuses new requests, and returns once all
+    /// open requests are complete. Returns the number of requests that were still open when the
+    /// time allowed for that was over.
     pub async fn stop(self) -> usize {
         let Self { entry, front, ready, background, .. } = self;
         entry.enter_phase(Phase::Unready);
@@ -194,7 +197,7 @@
         let empty = std::future::poll_fn(|cx| entry.open.poll_empty(cx));
         entry.timers.timeout_at(until, empty).await;
         let cut_off = entry.open.len();
-        let until = clock::now() + CLOSE_WITHIN;
+        let until = clock::now() + CLOSE_TIMEOUT;
         let busy = || {
             entry.caller_connections.get() + entry.claims.as_ref().map_or(0, Claims::running_calls)
                 > 0
@@ -203,7 +206,7 @@
             entry.timers.sleep(Duration::from_millis(5)).await;
         }
         if entry.settings.follow.is_some() && entry.is_done() {
-            entry.timers.sleep(DONE_TOLD_WITHIN).await;
+            entry.timers.sleep(FINAL_REPORT_GRACE).await;
         }
         drop((background, ready));
         Line::new("stopped").with("cut_off", cut_off).info();
--- a/crates/vaneway-server/src/core/usage.rs
+++ b/crates/vaneway-server/src/core/usage.rs
@@ -1,9 +1,9 @@
-//! What organisations use: requests begun in each accounting window, and quota units taken.
+//! Usage of organisations: requests started in each accounting window, and quota units admitted.
 //!
-//! Why windows at the entry box: a report of a window must be true to a few requests, so each
-//! request is counted where its work was seen to begin, by the cluster's time. What an entry box
-//! counted for a window only grows, so control boxes may hear it any number of times, late, or
-//! from each other, and keep the highest count of each entry's start.
+//! The usage reported for a window must be accurate to a few requests, so each entry box counts a
+//! request in the window, by cluster time, in which the request's work was seen to start. The
+//! counts of an entry box for a window only grow, so control boxes may receive them repeatedly,
+//! late or from each other, and keep the highest count of each incarnation of an entry box.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,9 +18,9 @@
 use vaneway_engine::Totals;
 use vaneway_quota::Slot;
 
-use crate::core::cluster_time::AHEAD_MOST;
 use crate::core::cluster_time::ClusterNow;
 use crate::core::cluster_time::ClusterTime;
+use crate::core::cluster_time::MAX_AHEAD;
 use crate::core::cluster_time::Window;
 use crate::core::entry_incarnation::EntryIncarnation;
 use crate::core::loads::LoadLedger;
@@ -30,29 +30,29 @@
 use crate::core::report_tracker::ReportCoverage;
 use crate::core::report_tracker::ReportTracker;
 
-/// Requests of each organisation.
+/// Number of requests by organisation.
 pub type Counts = BTreeMap<String, u64>;
 
-/// Windows that an entry box remembers: longer than a report may be late.
+/// Number of windows that an entry box retains: more than a report may be late.
 pub const RETAINED_WINDOWS: usize = 8;
 
-/// What the requests of one entry box used.
+/// Usage by the requests of one entry box.
 #[derive(Debug, Default)]
 pub struct LocalUsage {
-    /// The cluster's time and the length of a window, once a control box told.
+    /// Cluster time and the length of a window, once a control box has sent the time.
     clock: Option<(ClusterTime, Duration)>,
     windows: BTreeMap<Window, Counts>,
-    /// Requests begun before the cluster's time was known.
+    /// Requests started before the cluster time was known.
     early: Vec<(Instant, String)>,
-    /// What was seen of the engines of each service.
+    /// Measurements of each service's engines.
     engines: BTreeMap<String, Observer>,
 }
 
-/// Most requests that wait for the cluster's time.
-const EARLY_MOST: usize = 10_000;
+/// Most requests that are held in [`LocalUsage::early`].
+const MAX_EARLY_REQUESTS: usize = 10_000;
 
 impl LocalUsage {
-    /// Learns the cluster's time.
+    /// Sets the cluster time, and counts the requests that were started before it was known.
     pub fn set_clock(&mut self, clock: ClusterTime, length: Duration) {
         self.clock = Some((clock, length));
         for (at, organisation) in std::mem::take(&mut self.early) {
@@ -60,15 +60,15 @@
         }
     }
 
-    /// The cluster's time, once known.
+    /// The cluster time, once known.
     pub fn clock(&self) -> Option<ClusterTime> {
         self.clock.map(|(clock, _)| clock)
     }
 
-    /// Counts a request whose work began at `now`.
+    /// Counts a request whose work started at `now`.
     pub fn begin(&mut self, now: Instant, organisation: &str) {
         let Some((clock, length)) = self.clock else {
-            if self.early.len() < EARLY_MOST {
+            if self.early.len() < MAX_EARLY_REQUESTS {
                 self.early.push((now, organisation.to_owned()));
             }
             return;
@@ -80,17 +80,17 @@
         }
     }
 
-    /// Counts a run that begins at an engine of a service.
+    /// Counts a run that is sent to an engine of a service.
     pub fn begin_run(&mut self, service: &str, prompt: u64, unread: u64) {
         self.engine(service).begin(prompt, unread);
     }
 
-    /// Takes in what was seen of a run.
+    /// Records the measurements of a run.
     pub fn observe_run(&mut self, service: &str, run: &Run) {
         self.engine(service).observe(run);
     }
 
-    /// How fast the engines of a service were seen to be.
+    /// The measured speeds of a service's engines.
     pub fn speeds(&mut self, service: &str) -> Speeds {
         self.engines.get_mut(service).map(Observer::speeds).unwrap_or_default()
     }
@@ -99,16 +99,18 @@
         self.engines.entry(service.to_owned()).or_default()
     }
 
-    /// Work given to the engines of each service, and how fast they were seen to be, as it travels.
+    /// Work sent to each service's engines and their measured speeds, for the report to control
+    /// boxes.
     pub fn work(&mut self) -> Vec<(String, EngineUsage)> {
         let engines = self.engines.iter_mut().map(|(service, observer)| {
-            let seen = EngineUsage { totals: observer.totals(), speeds: observer.speeds() };
-            (service.clone(), seen)
+            let engine_usage = EngineUsage { totals: observer.totals(), speeds: observer.speeds() };
+            (service.clone(), engine_usage)
         });
         engines.collect()
     }
 
-    /// Requests begun in the latest `count` windows that have any, as they travel.
+    /// Requests started in the latest `count` windows that have any, for the report to control
+    /// boxes.
     pub fn windows(&self, count: usize) -> Vec<(Window, Counts)> {
         let before = self.windows.len().saturating_sub(count);
         let latest = self.windows.iter().skip(before);
@@ -116,60 +118,61 @@
     }
 }
 
-/// What one entry box tells of the engines of a service.
+/// Work and speeds of a service's engines, as one entry box reports them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineUsage {
-    /// Work given to them since the box started.
+    /// Work sent to them since the box started.
     pub totals: Totals,
-    /// How fast they were seen to be.
+    /// Their measured speeds.
     pub speeds: Speeds,
 }
 
-/// What one entry box tells of its requests.
+/// Usage report of one entry box.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// The cluster's time of this report; none while the entry box doesn't know it.
+    /// Cluster time of this report; none while the entry box doesn't know it.
     pub at: Option<Duration>,
-    /// Requests begun in the latest windows.
+    /// Requests started in the latest windows.
     pub windows: Vec<(Window, Counts)>,
-    /// Quota units taken in the latest slots, and asked for.
+    /// Quota units admitted in the latest slots, and units requested.
     pub quotas: Vec<(String, OwnQuotaUsage)>,
-    /// All that is open at endpoints now, where it is told whole.
+    /// Everything that is open at endpoints now, in full reports only.
     pub loads: Option<Loads>,
-    /// What was seen of the engines of each service.
+    /// Work and speeds of each service's engines.
     pub work: Vec<(String, EngineUsage)>,
 }
 
-/// What all entry boxes told one control box.
+/// The reports of all entry boxes to one control box.
 #[derive(Debug, Default)]
 pub struct UsageLedger {
     windows: BTreeMap<Window, BTreeMap<EntryIncarnation, Counts>>,
     quotas: QuotaLedger,
     loads: LoadLedger,
-    /// When each entry box told anything.
+    /// Which entry boxes report, and when they last did.
     report_tracker: ReportTracker,
-    /// The slot in which starts were last forgotten.
-    forgot_in: Slot,
-    /// What each entry box last told of the engines of each service.
+    /// The slot in which stale incarnations were last removed.
+    expired_in: Slot,
+    /// The latest report of each incarnation on each service's engines.
     work: BTreeMap<EntryIncarnation, BTreeMap<String, EngineUsage>>,
-    /// Work told in the latest slots, by service.
-    arrived: BTreeMap<Slot, BTreeMap<String, Totals>>,
+    /// Work reported in the latest slots, by service.
+    arrived_work: BTreeMap<Slot, BTreeMap<String, Totals>>,
 }
 
-/// Windows that a control box remembers.
-const LEDGER_WINDOWS: usize = 16;
+/// Number of windows that a control box retains.
+const RETAINED_LEDGER_WINDOWS: usize = 16;
 
-/// Slots over which the demand is measured: a few seconds.
+/// Number of slots over which the demand is measured: 4 s.
 const DEMAND_SLOTS: u64 = 8;
 
-/// Slots of work that are remembered.
-const DEMAND_SLOTS_KEPT: usize = 16;
+/// Number of slots for which reported work is retained.
+const RETAINED_DEMAND_SLOTS: usize = 16;
 
 impl UsageLedger {
-    /// Takes a report in; `now` is the cluster's time, beyond which nothing can have been used.
+    /// Merges a report. Windows after the cluster time `now` are ignored but for the allowed clock
+    /// difference, since nothing can have been used then.
     pub fn merge(&mut self, now: ClusterNow, entry: &EntryIncarnation, report: &UsageReport) {
         for (window, counts) in &report.windows {
-            if *window > now.window + AHEAD_MOST {
+            if *window > now.window + MAX_AHEAD {
                 continue;
             }
             let known = self.windows.entry(*window).or_default().entry(entry.clone()).or_default();
@@ -178,42 +181,43 @@
                 *known = (*known).max(*count);
             }
         }
-        while self.windows.len() > LEDGER_WINDOWS {
+        while self.windows.len() > RETAINED_LEDGER_WINDOWS {
             self.windows.pop_first();
         }
         self.quotas.merge(now, entry, &report.quotas);
-        self.report_tracker.learn(now, entry, report.at);
-        self.forget_starts(now);
+        self.report_tracker.record(now, entry, report.at);
+        self.expire_incarnations(now);
         if let Some(loads) = &report.loads {
             self.loads.replace(entry, loads);
         }
         self.merge_work(now, entry, &report.work);
     }
 
-    /// Forgets the starts of entry boxes that have been silent for long: what they saw of engines must
-    /// not outweigh what is seen now. Once in a slot: with each report it would cost the square of the boxes.
-    fn forget_starts(&mut self, now: ClusterNow) {
-        if std::mem::replace(&mut self.forgot_in, now.slot) == now.slot {
+    /// Removes the incarnations of entry boxes that have not reported for long: their engine
+    /// measurements must not outweigh the present ones. Runs once per slot, since running it with
+    /// each report would cost quadratic time in the number of boxes.
+    fn expire_incarnations(&mut self, now: ClusterNow) {
+        if std::mem::replace(&mut self.expired_in, now.slot) == now.slot {
             return;
         }
         let Self { report_tracker, work, quotas, .. } = self;
-        report_tracker.forget(now.slot);
-        work.retain(|entry, _| report_tracker.has(entry));
-        quotas.forget(|entry| report_tracker.has(entry));
+        report_tracker.expire(now.slot);
+        work.retain(|entry, _| report_tracker.contains(entry));
+        quotas.expire(|entry| report_tracker.contains(entry));
     }
 
-    /// Learns that a start of an entry box has told all that it ever will.
+    /// Records that an incarnation of an entry box has sent its final report.
     pub fn mark_done(&mut self, entry: &EntryIncarnation) {
-        self.report_tracker.end(entry);
+        self.report_tracker.mark_done(entry);
     }
 
-    /// When the last report of an entry box was made that is recent at `now`; none if there is none, or if
-    /// the box's idea of the cluster's time is another.
+    /// When the last report of an entry box was made. None if there is no report that is recent at
+    /// `now`, or if the entry box's cluster time differs from this box's.
     pub fn last_report_at(&self, now: Duration, entry: &EntryIncarnation) -> Option<Duration> {
         self.report_tracker.last_report_at(now, entry)
     }
 
-    /// Starts of entry boxes that are remembered.
+    /// Number of incarnations of entry boxes that are tracked.
     pub fn incarnations(&self) -> usize {
         self.report_tracker.incarnations()
     }
@@ -224,25 +228,27 @@
         entry: &EntryIncarnation,
         work: &[(String, EngineUsage)],
     ) {
-        let told = self.work.insert(entry.clone(), work.iter().cloned().collect());
-        // What was done before this box heard of the entry for the first time says nothing of now.
-        let Some(told) = told else { return };
-        for (service, seen) in work {
-            let before = told.get(service).copied().unwrap_or_default();
-            let slot = self.arrived.entry(now.slot).or_default();
-            *slot.entry(service.clone()).or_default() += seen.totals.since(before.totals);
+        let previous = self.work.insert(entry.clone(), work.iter().cloned().collect());
+        // The totals are cumulative, so the first ones of an entry box cover an unknown period and
+        // are not counted as present work.
+        let Some(previous) = previous else { return };
+        for (service, engine_usage) in work {
+            let before = previous.get(service).copied().unwrap_or_default();
+            let slot = self.arrived_work.entry(now.slot).or_default();
+            *slot.entry(service.clone()).or_default() += engine_usage.totals.since(before.totals);
         }
-        // After a step back, slots that the time has not reached would take the place of those of now.
-        drop(self.arrived.split_off(&(now.slot + 1)));
-        while self.arrived.len() > DEMAND_SLOTS_KEPT {
-            self.arrived.pop_first();
+        // After a backward clock step, slots that are still in the future would displace the
+        // present ones.
+        drop(self.arrived_work.split_off(&(now.slot + 1)));
+        while self.arrived_work.len() > RETAINED_DEMAND_SLOTS {
+            self.arrived_work.pop_first();
         }
     }
 
-    /// Work that arrived lately for the engines of a service.
+    /// Rate at which work for a service's engines has arrived recently.
     pub fn rates(&self, now: ClusterNow, service: &str) -> Rates {
         let mut sum = Totals::default();
-        let slots = self.arrived.range(now.slot.saturating_sub(DEMAND_SLOTS)..now.slot);
+        let slots = self.arrived_work.range(now.slot.saturating_sub(DEMAND_SLOTS)..now.slot);
         for totals in slots.filter_map(|(_, services)| services.get(service)) {
             sum += *totals;
         }
@@ -254,10 +260,10 @@
         }
     }
 
-    /// How fast all entry boxes together have seen the engines of a service.
+    /// Speeds of a service's engines by the measurements of all entry boxes.
     pub fn speeds(&self, service: &str) -> Speeds {
-        let told = self.work.values().filter_map(|services| services.get(service));
-        vaneway_engine::merge(&told.map(|seen| seen.speeds).collect::<Vec<_>>())
+        let reports = self.work.values().filter_map(|services| services.get(service));
+        vaneway_engine::merge(&reports.map(|engine_usage| engine_usage.speeds).collect::<Vec<_>>())
     }
 
     /// What entry boxes have open at endpoints.
@@ -265,23 +271,24 @@
         &mut self.loads
     }
 
-    /// Whether an entry box told something in a window, from the slot `begin` on, and nothing since its
-    /// end: it may have more to tell of it.
+    /// Whether the last report of any entry box falls into a window, which begins with the slot
+    /// `begin` and ends with `end`: that box may have more usage to report for it.
     pub fn awaits_reports(&self, begin: Slot, end: Slot) -> bool {
-        self.report_tracker.misses(begin, end)
+        self.report_tracker.awaits_reports(begin, end)
     }
 
-    /// Entry boxes that told something after the slot `end`, and so all that they had used until then.
+    /// Number of entry boxes that reported after the slot `end`, and so have reported all usage
+    /// until then.
     pub fn reporters_since(&self, end: Slot) -> u32 {
         self.report_tracker.reporters_since(end)
     }
 
-    /// What the rates of work rest on, where `known` entry boxes may be there.
+    /// How many of the `known` entry boxes the work rates are based on.
     pub fn work_coverage(&self, now: ClusterNow, known: u32) -> ReportCoverage {
-        self.report_tracker.news(now, DEMAND_SLOTS, known)
+        self.report_tracker.coverage(now, DEMAND_SLOTS, known)
     }
 
-    /// Whether any entry box told of requests in a window.
+    /// Whether any entry box reported requests for a window.
     pub fn has_window(&self, window: Window) -> bool {
         self.windows.contains_key(&window)
     }
@@ -297,7 +304,7 @@
         sum
     }
 
-    /// What entry boxes took of quotas.
+    /// Quota usage of the entry boxes.
     pub fn quotas(&mut self) -> &mut QuotaLedger {
         &mut self.quotas
     }
