--- a/crates/vaneway-chart/src/lib.rs
+++ b/crates/vaneway-chart/src/lib.rs
@@ -1,13 +1,13 @@
-//! State charts in JSON, checked with all findings at once and compiled to a dense table.
+//! State charts written in JSON, validated and compiled to a dense transition table.
 //!
-//! Why: the life of a request, an attempt or an endpoint is a small state machine that operators
+//! The life cycle of a request, an attempt or an endpoint is a small state machine that operators
 //! and reviewers want to read without reading code. The chart file is the specification: the
 //! program interprets it, and tests explore the same file.
 //!
-//! Data flow: the JSON text of a chart is read by [`Chart::compile`], which checks it against
-//! three enumerations that the program defines with [`chart_names!`] (states, events, actions).
-//! Each finding carries its JSON path. The result is one table with a cell for each pair of state
-//! and event, so a step at run time is a single indexed load and allocates nothing.
+//! [`Chart::compile`] checks the JSON text of a chart against three enumerations that the program
+//! defines with [`chart_names!`] (states, events, actions). It reports all findings at once, each
+//! with its JSON path. The result is one table with a cell for each pair of state and event, so a
+//! transition at run time is a single indexed load and allocates nothing.
 //!
 //! ```
 //! use vaneway_chart::{chart_names, Chart};
@@ -35,12 +35,12 @@
 
 use serde::Deserialize;
 
-/// A name that may stand in a chart: a state, an event or an action.
+/// A value that a chart file refers to by name: a state, an event or an action.
 pub trait ChartName: Copy + Eq + fmt::Debug + 'static {
-    /// Every value, in the order of [`ChartName::index`].
+    /// All values, in the order of [`ChartName::index`].
     const ALL: &'static [Self];
 
-    /// The name as the chart file writes it.
+    /// The name used in the chart file.
     fn name(self) -> &'static str;
 
     /// The position of the value in [`ChartName::ALL`].
@@ -84,18 +84,18 @@
     };
 }
 
-/// One cell of the table: where an event leads and what it causes.
+/// One cell of the transition table: the target state of an event and the actions it triggers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Step<S, A> {
     /// The state after the event.
     pub to: S,
-    /// The actions to take, in order.
+    /// The actions to perform, in order.
     pub actions: Vec<A>,
     /// Whether the chart lists the event as ignored in this state.
     pub ignored: bool,
 }
 
-/// A checked chart.
+/// A validated and compiled chart.
 #[derive(Debug, Clone)]
 pub struct Chart<S, E, A> {
     name: String,
@@ -105,10 +105,10 @@
     events: std::marker::PhantomData<E>,
 }
 
-/// One fault of a chart file, with its place.
+/// One problem found in a chart file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// JSON path of the fault, for example `$.states.serving.on.notice.to`.
+    /// JSON path of the problem, for example `$.states.serving.on.notice.to`.
     pub path: String,
     /// What is wrong and what to write instead.
     pub message: String,
@@ -117,7 +117,7 @@
 /// All findings of one chart file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChartError {
-    /// The findings, in the order of the file.
+    /// The findings, in the order in which they were detected.
     pub findings: Vec<Finding>,
 }
 
@@ -165,12 +165,12 @@
 }
 
 impl<S: ChartName, E: ChartName, A: ChartName> Chart<S, E, A> {
-    /// Checks the JSON text of a chart and compiles it.
+    /// Validates the JSON text of a chart and compiles it.
     ///
     /// # Errors
     ///
-    /// [`ChartError`] lists every finding: names that the program does not know, states that are
-    /// missing or cannot be reached, and events that a state neither handles nor ignores.
+    /// [`ChartError`] lists every finding: names that the program does not define, states that are
+    /// missing or unreachable, and events that a state neither handles nor ignores.
     pub fn compile(text: &str) -> Result<Self, ChartError> {
         let file: ChartFile = match serde_json::from_str(text) {
             Ok(file) => file,
@@ -187,17 +187,17 @@
         &self.name
     }
 
-    /// The state that everything starts in.
+    /// The initial state.
     pub fn initial(&self) -> S {
         self.initial
     }
 
-    /// What `event` does in `state`.
+    /// Looks up the transition for `event` in `state`.
     pub fn step(&self, state: S, event: E) -> &Step<S, A> {
         &self.cells[state.index() * E::ALL.len() + event.index()]
     }
 
-    /// Whether `state` is marked final: nothing leads out of it.
+    /// Whether `state` is marked final, that is, has no outgoing transitions.
     pub fn is_final(&self, state: S) -> bool {
         self.finals[state.index()]
     }
@@ -236,7 +236,7 @@
     fn compile(mut self, file: ChartFile) -> Result<Chart<S, E, A>, ChartError> {
         let initial = self.lookup::<S>("$.initial", "state", &file.initial);
         for (name, state) in &file.states {
-            self.state(name, state);
+            self.compile_state(name, state);
         }
         for &state in S::ALL {
             if !file.states.contains_key(state.name()) {
@@ -244,10 +244,10 @@
             }
         }
         if self.findings.is_empty() {
-            self.complete();
+            self.check_complete();
         }
         if let (Some(initial), true) = (initial, self.findings.is_empty()) {
-            self.reachable(initial);
+            self.check_reachable(initial);
         }
         match initial {
             Some(initial) if self.findings.is_empty() => Ok(Chart {
@@ -261,25 +261,25 @@
         }
     }
 
-    fn state(&mut self, name: &str, file: &StateFile) {
+    fn compile_state(&mut self, name: &str, file: &StateFile) {
         let path = format!("$.states.{name}");
         let Some(state) = self.lookup::<S>(&path, "state", name) else { return };
         self.finals[state.index()] = file.is_final;
         for (event_name, edge) in &file.on {
-            self.edge(state, &path, event_name, edge);
+            self.compile_edge(state, &path, event_name, edge);
         }
         for (i, event_name) in file.ignore.iter().enumerate() {
             let path = format!("{path}.ignore[{i}]");
             let Some(event) = self.lookup::<E>(&path, "event", event_name) else { continue };
             let step = Step { to: state, actions: Vec::new(), ignored: true };
-            self.fill(&path, state, event, step);
+            self.set_cell(&path, state, event, step);
         }
         if file.is_final && !file.on.is_empty() {
-            self.report(format!("{path}.on"), "a final state handles no event, ignore them");
+            self.report(format!("{path}.on"), "a final state can't handle events; ignore them");
         }
     }
 
-    fn edge(&mut self, state: S, path: &str, event_name: &str, edge: &EdgeFile) {
+    fn compile_edge(&mut self, state: S, path: &str, event_name: &str, edge: &EdgeFile) {
         let path = format!("{path}.on.{event_name}");
         let event = self.lookup::<E>(&path, "event", event_name);
         let to = self.lookup::<S>(&format!("{path}.to"), "state", &edge.to);
@@ -288,20 +288,20 @@
             actions.extend(self.lookup::<A>(&format!("{path}.do[{i}]"), "action", name));
         }
         if let (Some(event), Some(to)) = (event, to) {
-            self.fill(&path, state, event, Step { to, actions, ignored: false });
+            self.set_cell(&path, state, event, Step { to, actions, ignored: false });
         }
     }
 
-    fn fill(&mut self, path: &str, state: S, event: E, step: Step<S, A>) {
+    fn set_cell(&mut self, path: &str, state: S, event: E, step: Step<S, A>) {
         let cell = &mut self.cells[state.index() * E::ALL.len() + event.index()];
         if cell.is_some() {
-            self.report(path, format!("event `{}` is already given here", event.name()));
+            self.report(path, format!("event `{}` is listed twice here", event.name()));
         } else {
             *cell = Some(step);
         }
     }
 
-    fn complete(&mut self) {
+    fn check_complete(&mut self) {
         for &state in S::ALL {
             for &event in E::ALL {
                 if self.cells[state.index() * E::ALL.len() + event.index()].is_none() {
@@ -313,7 +313,7 @@
         }
     }
 
-    fn reachable(&mut self, initial: S) {
+    fn check_reachable(&mut self, initial: S) {
         let mut seen = vec![false; S::ALL.len()];
         let mut todo = vec![initial];
         while let Some(state) = todo.pop() {
@@ -325,7 +325,10 @@
         }
         for &state in S::ALL {
             if !seen[state.index()] {
-                self.report(format!("$.states.{}", state.name()), "no event leads to this state");
+                self.report(
+                    format!("$.states.{}", state.name()),
+                    "unreachable from the initial state",
+                );
             }
         }
     }
--- a/crates/vaneway-log/src/lib.rs
+++ b/crates/vaneway-log/src/lib.rs
@@ -1,16 +1,17 @@
-//! Durable log of length and checksum framed records.
+//! Append-only log of length-prefixed, checksummed records.
 //!
-//! Why: state that must survive is a sequence of records that are appended and synced. After a
-//! crash the end of the file may hold a part of the last write; anywhere else a wrong byte means
-//! that something which was promised as durable is damaged, and going on would be a lie.
+//! Durable state is a sequence of records that are appended to a file and synced. After a crash,
+//! the file may end in a part of the last write (a torn write), which is discarded. A wrong byte
+//! anywhere else means that a record which was acknowledged as durable is corrupt, so recovery
+//! fails.
 //!
-//! The format of a record: the payload's length, a checksum of that length, a checksum of the
-//! payload (three little-endian `u32`, CRC-32), the payload. The length has a checksum of its own
-//! so that a damaged length in the middle is not taken for a torn end, which would cut off good
-//! records behind it.
+//! A record consists of the payload's length, a checksum of that length, a checksum of the payload
+//! (three little-endian `u32`, the checksums CRC-32) and the payload. The length has a checksum of
+//! its own so that a corrupt length in the middle of the file is not taken for a torn write, which
+//! would discard valid records after it.
 //!
-//! This crate turns records into bytes and back and decides what a file's bytes mean; whoever
-//! owns the file does the reading, writing and syncing.
+//! This crate encodes and decodes records and does no I/O; the owner of the file reads, writes and
+//! syncs it.
 //!
 //! ```
 //! use vaneway_log::{append, recover};
@@ -27,10 +28,10 @@
 
 use std::fmt;
 
-/// Bytes before each payload.
+/// Length of the header before each payload, in bytes.
 pub const HEADER_BYTES: usize = 12;
 
-/// Appends one record to `file`.
+/// Encodes `payload` as one record at the end of `file`.
 ///
 /// # Panics
 ///
@@ -44,7 +45,7 @@
     file.extend_from_slice(payload);
 }
 
-/// One record, for a file that holds no other yet or to be appended as it is.
+/// Encodes `payload` as one record.
 ///
 /// # Panics
 ///
@@ -55,23 +56,24 @@
     framed
 }
 
-/// What a file holds.
+/// The decoded contents of a log file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Recovered<'a> {
     /// The payloads, in order.
     pub records: Vec<&'a [u8]>,
-    /// Bytes up to the end of the last whole record: cut the file here.
+    /// Bytes up to the end of the last complete record; truncate the file to this length before
+    /// appending to it.
     pub valid_bytes: usize,
-    /// Bytes of a torn write behind that.
+    /// Bytes of a torn write after that.
     pub torn_bytes: usize,
 }
 
-/// A record that was durable is damaged.
+/// Error for a corrupt record that can't be the result of a torn write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CorruptRecord {
-    /// Where in the file the damaged record begins.
+    /// Offset in the file at which the record begins, in bytes.
     pub offset: usize,
-    /// What is wrong.
+    /// What is wrong with the record.
     pub reason: &'static str,
 }
 
@@ -83,16 +85,16 @@
 
 impl std::error::Error for CorruptRecord {}
 
-/// Reads the bytes of a file.
+/// Decodes the contents of a log file.
 ///
 /// # Errors
 ///
-/// [`CorruptRecord`] if a record other than a torn last one is damaged.
+/// [`CorruptRecord`] if a record is corrupt and is not a torn write at the end of the file.
 pub fn recover(file: &[u8]) -> Result<Recovered<'_>, CorruptRecord> {
     let mut records = Vec::new();
     let mut offset = 0;
     while offset < file.len() {
-        match next(file, offset)? {
+        match decode_record(file, offset)? {
             Some(payload) => {
                 offset += HEADER_BYTES + payload.len();
                 records.push(payload);
@@ -103,30 +105,31 @@
     Ok(Recovered { records, valid_bytes: offset, torn_bytes: file.len() - offset })
 }
 
-fn word(bytes: &[u8], at: usize) -> u32 {
+fn read_u32(bytes: &[u8], at: usize) -> u32 {
     let mut word = [0; 4];
     word.copy_from_slice(&bytes[at..at + 4]);
     u32::from_le_bytes(word)
 }
 
-/// The record at `offset`, or none if the rest is a torn write.
-fn next(file: &[u8], offset: usize) -> Result<Option<&[u8]>, CorruptRecord> {
+/// Returns the payload of the record at `offset`, or `None` if the rest of the file is a torn
+/// write.
+fn decode_record(file: &[u8], offset: usize) -> Result<Option<&[u8]>, CorruptRecord> {
     let rest = &file[offset..];
     if rest.len() < HEADER_BYTES {
         return Ok(None);
     }
-    // A file that grew before its data arrived ends in zeros.
-    let unwritten = |bytes: &[u8]| bytes.iter().all(|byte| *byte == 0);
-    if crc32fast::hash(&rest[..4]) != word(rest, 4) {
-        if unwritten(rest) {
+    // After a crash, a file whose length was extended before its data was written ends in zeros.
+    let all_zeros = |bytes: &[u8]| bytes.iter().all(|byte| *byte == 0);
+    if crc32fast::hash(&rest[..4]) != read_u32(rest, 4) {
+        if all_zeros(rest) {
             return Ok(None);
         }
         return Err(CorruptRecord { offset, reason: "its length does not match its checksum" });
     }
-    let end = HEADER_BYTES + word(rest, 0) as usize;
+    let end = HEADER_BYTES + read_u32(rest, 0) as usize;
     let Some(payload) = rest.get(HEADER_BYTES..end) else { return Ok(None) };
-    if crc32fast::hash(payload) != word(rest, 8) {
-        if unwritten(&rest[end..]) {
+    if crc32fast::hash(payload) != read_u32(rest, 8) {
+        if all_zeros(&rest[end..]) {
             return Ok(None);
         }
         return Err(CorruptRecord { offset, reason: "its payload does not match its checksum" });
--- a/crates/vaneway-timer/src/lib.rs
+++ b/crates/vaneway-timer/src/lib.rs
@@ -1,10 +1,11 @@
-//! A queue of deadlines that parts subscribe to, without a clock of its own.
+//! Queue of deadlines with keys, independent of any clock.
 //!
-//! Why: every part needs deadlines, and a part that reads the clock or sleeps by itself cannot be
-//! replayed. Parts subscribe with a deadline and a key; whoever owns the clock asks for the next
-//! deadline, sleeps until then, and hands the keys that are due back to the parts.
+//! A component that reads the clock or sleeps can't be replayed in a test, yet most components need
+//! deadlines. With this queue a component subscribes with a deadline and a key; the owner of the
+//! clock queries the next deadline, sleeps until then and hands the due keys back to the
+//! components.
 //!
-//! Deadlines that are equal come due in the order of subscription.
+//! Equal deadlines become due in the order of subscription.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
@@ -22,14 +23,14 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Names one subscription; never used twice by one queue.
+/// Identifies a subscription; a queue never reuses an id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId {
     at: Instant,
     sequence: u64,
 }
 
-/// The queue of deadlines.
+/// Queue of deadlines, each with a key of type `K`.
 #[derive(Debug)]
 pub struct TimerQueue<K> {
     entries: BTreeMap<TimerId, K>,
@@ -43,12 +44,12 @@
 }
 
 impl<K> TimerQueue<K> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self { entries: BTreeMap::new(), sequence: 0 }
     }
 
-    /// Asks for `key` to come due at `at`.
+    /// Adds a subscription: `key` becomes due at `at`.
     pub fn subscribe(&mut self, at: Instant, key: K) -> TimerId {
         let id = TimerId { at, sequence: self.sequence };
         self.sequence += 1;
@@ -56,17 +57,17 @@
         id
     }
 
-    /// Takes a subscription back; false if it came due already.
+    /// Cancels a subscription; returns false if it was already removed or cancelled.
     pub fn cancel(&mut self, id: TimerId) -> bool {
         self.entries.remove(&id).is_some()
     }
 
-    /// The key of a subscription that has not come due.
+    /// Returns the key of a subscription that is still in the queue.
     pub fn get_mut(&mut self, id: TimerId) -> Option<&mut K> {
         self.entries.get_mut(&id)
     }
 
-    /// The earliest deadline.
+    /// Returns the earliest deadline.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.entries.keys().next().map(|id| id.at)
     }
@@ -77,12 +78,12 @@
         (first.key().at <= now).then(|| first.remove())
     }
 
-    /// How many subscriptions are waiting.
+    /// Number of pending subscriptions.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is waiting.
+    /// Whether no subscription is pending.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
