--- a/crates/vaneway-server/src/core/settings/mod.rs
+++ b/crates/vaneway-server/src/core/settings/mod.rs
@@ -1,7 +1,7 @@
 //! Settings of one process, as read from its JSON file.
 //!
-//! [`read()`] checks the whole file and reports every finding with its JSON path. What the fields
-//! mean for operators stands in docs/OPERATIONS.md.
+//! [`read()`] validates the whole file and reports every finding with its JSON path. The settings
+//! are documented for operators in docs/OPERATIONS.md.
 
 mod read;
 
@@ -19,77 +19,79 @@
 pub use read::read_process;
 pub use read::read_process_file;
 
-/// Settings of one process.
+/// Settings of an entry box.
 #[derive(Debug, Clone, Serialize)]
 pub struct Settings {
     /// Name of this entry box, unique in the deployment.
     pub name: String,
-    /// The availability zone that this box stands in.
+    /// The availability zone of this box.
     pub availability_zone: String,
-    /// Every availability zone of the deployment.
+    /// All availability zones of the deployment.
     pub availability_zones: Vec<String>,
-    /// Where callers connect.
+    /// Listening address for callers.
     pub listen: SocketAddr,
-    /// The operators' address.
+    /// Interface for operators.
     pub operators: Operators,
-    /// The cloud platform's interface, if any.
+    /// Interface of the cloud platform, if it has one.
     pub platform: Option<Platform>,
-    /// How this box talks to the other entry boxes.
+    /// Gossip with the other entry boxes.
     pub cluster: Option<Cluster>,
-    /// How this box follows the control boxes, in a deployment that has them.
+    /// Connections to the control boxes, in a deployment that has them.
     pub follow: Option<FollowSettings>,
-    /// Where balancers ask whether this box is ready, besides the callers' address.
+    /// Additional listening address for the readiness probes of load balancers, which may also use
+    /// the callers' address.
     pub ready: Option<SocketAddr>,
     /// The other entry boxes.
     pub peers: Vec<Peer>,
-    /// Where durable state is kept.
+    /// Directory for durable state.
     pub data_folder: Option<PathBuf>,
-    /// Who may call.
+    /// Organisations whose callers are served.
     pub organisations: Vec<Organisation>,
-    /// What is served.
+    /// Services that callers can reach.
     pub services: Vec<Service>,
-    /// Every replica of every service.
+    /// The replicas of all services.
     pub replicas: Vec<EndpointSpec>,
-    /// How endpoints are chosen.
+    /// Selection of endpoints for requests.
     pub routing: Routing,
-    /// Limits on what callers send and hold.
+    /// Limits for requests and connections of callers.
     pub limits: Limits,
-    /// How the process stops.
+    /// Timing of a planned stop.
     pub stop: Stop,
-    /// The ledger of calls that may run at most once.
+    /// Ledger of requests that may run at most once.
     pub claims: ClaimSettings,
 }
 
-/// How an entry box follows the control boxes.
+/// Settings of an entry box that follows control boxes.
 #[derive(Debug, Clone, Serialize)]
 pub struct FollowSettings {
-    /// Control boxes to begin with, by their addresses for other boxes.
+    /// Control boxes to connect to first, by their addresses for other boxes.
     pub seeds: Vec<SocketAddr>,
     /// Length of an accounting window.
     pub window: Duration,
-    /// What operators allow beyond quotas.
+    /// By how much organisations may exceed their quotas.
     pub quota: QuotaAllowance,
-    /// What operators allow of retries.
+    /// Retry budget of each service.
     pub retries: RetryAllowance,
 }
 
-/// Retries that operators allow a service in a short time, over all entry boxes together.
+/// Retry budget of a service for a short time, over all entry boxes together.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct RetryAllowance {
-    /// For each request.
+    /// Retries for each request.
     pub share: f64,
-    /// On top.
+    /// Retries in addition to that, independent of the number of requests.
     pub slack: f64,
 }
 
-/// What operators allow beyond quotas, since entry boxes admit requests without asking each other.
+/// By how much an organisation may exceed its quota. Some excess is unavoidable, since each entry
+/// box admits requests without querying the others.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct QuotaAllowance {
-    /// Time over which a quota is measured.
+    /// Time over which usage is compared with the quota.
     pub window: Duration,
-    /// Part of what a quota allows in that time, on top.
+    /// Allowed excess, as a fraction of what the quota allows in that time.
     pub overage: f64,
-    /// Units on top of that.
+    /// Allowed excess in addition to that, in quota units.
     pub slack: f64,
 }
 
@@ -98,43 +100,44 @@
 pub struct ControlSettings {
     /// Name of this control box, unique in the deployment.
     pub name: String,
-    /// The availability zone that it stands in.
+    /// The availability zone of this control box.
     pub availability_zone: String,
-    /// Where endpoints and operators call.
+    /// Listening address for endpoints and operators.
     pub listen: SocketAddr,
-    /// Where operators reach the product's own interface, if that is another address. All control
-    /// boxes use the same port there.
+    /// Listening address of the native interface for operators, if it differs from `listen`. All
+    /// control boxes use the same port for it.
     pub operators: Option<SocketAddr>,
-    /// Where other boxes connect. All control boxes use the same port there.
+    /// Listening address for other boxes. All control boxes use the same port for it.
     pub cluster_listen: SocketAddr,
-    /// Control boxes to begin with, by their addresses for other boxes.
+    /// Control boxes to connect to first, by their addresses for other boxes.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this start may form a new group of exactly the seeds. Only true when the whole
-    /// deployment starts for the first time.
+    /// Whether this start may form a new Raft group of exactly the seeds. Must be true only when
+    /// the whole deployment starts for the first time.
     pub form_group: bool,
-    /// Where durable state is kept.
+    /// Directory for durable state.
     pub data_folder: PathBuf,
-    /// Entries of the agreement's log after which a snapshot takes their place.
+    /// Number of entries of the Raft log after which they are replaced by a snapshot.
     pub snapshot_entries: u64,
-    /// How long after its start a control box names endpoints that only its disk remembers.
+    /// How long after its start a control box lists endpoints that it restored from disk and that
+    /// have not reported since.
     #[serde(rename = "remembered_for")]
     pub restored_retention: Duration,
     /// Length of an accounting window.
     pub window: Duration,
-    /// The cloud's interface, if it wants reports.
+    /// Interface of the cloud for reports and orders, if it has one.
     pub cloud: Option<CloudSettings>,
-    /// How replicas are ordered.
+    /// Policy for ordering replicas.
     pub capacity: vaneway_capacity::Policy,
 }
 
-/// The cloud's interface for reports and orders.
+/// Interface of the cloud for reports and orders.
 #[derive(Debug, Clone, Serialize)]
 pub struct CloudSettings {
-    /// Where it answers.
+    /// Address to which reports and orders are sent.
     pub address: SocketAddr,
-    /// Whether it wants a report of what organisations used in each window.
+    /// Whether to send a report of each organisation's usage for each accounting window.
     pub usage_reports: bool,
-    /// Whether it takes orders of replicas.
+    /// Whether to send orders for replicas.
     pub capacity_orders: bool,
 }
 
@@ -147,21 +150,21 @@
     Control(Box<ControlSettings>),
 }
 
-/// The ledger of calls that may run at most once.
+/// Settings of the ledger of requests that may run at most once.
 #[derive(Debug, Clone, Serialize)]
 pub struct ClaimSettings {
-    /// How long a key and its answer are kept.
+    /// How long an idempotency key and its stored response are retained.
     pub retention: Duration,
-    /// Bytes of log after which a snapshot is made.
+    /// Size of the ledger's log at which it is replaced by a snapshot, in bytes.
     pub snapshot_bytes: u64,
 }
 
-/// The operators' address and who may use it.
+/// Interface for operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct Operators {
-    /// Where operators connect.
+    /// Listening address.
     pub listen: SocketAddr,
-    /// Tokens that operators hold; without any, everyone who reaches the address may call.
+    /// Accepted tokens. If there are none, everyone who can reach the address may make calls.
     #[serde(skip)]
     pub tokens: Vec<OperatorToken>,
 }
@@ -171,29 +174,29 @@
 pub struct OperatorToken {
     /// The operator's name, for the log.
     pub name: String,
-    /// The secret.
+    /// The secret token.
     pub token: String,
 }
 
-/// The cloud platform's interface.
+/// Interface of the cloud platform.
 #[derive(Debug, Clone, Serialize)]
 pub struct Platform {
-    /// Where it answers.
+    /// Address of the interface.
     pub address: SocketAddr,
-    /// Time between two looks at the list of boxes.
+    /// Interval at which the list of boxes is polled.
     #[serde(rename = "list_every")]
     pub list_interval: Duration,
-    /// How long one wait for notices lasts.
+    /// Timeout of one long poll for notices.
     #[serde(rename = "notice_wait")]
     pub notice_poll_timeout: Duration,
 }
 
-/// How this box talks to the other entry boxes.
+/// Gossip between entry boxes.
 #[derive(Debug, Clone, Serialize)]
 pub struct Cluster {
-    /// Where it takes datagrams.
+    /// Address on which this box receives datagrams.
     pub listen: SocketAddr,
-    /// The secret that all boxes of the deployment share.
+    /// Secret key shared by all boxes of the deployment.
     #[serde(skip)]
     pub key: String,
 }
@@ -201,25 +204,25 @@
 /// Another entry box.
 #[derive(Debug, Clone, Serialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the box.
     pub name: String,
-    /// Its address for datagrams.
+    /// Address to which datagrams for it are sent.
     pub address: SocketAddr,
 }
 
-/// Who may call.
+/// An organisation whose callers are served.
 #[derive(Debug, Clone, Serialize)]
 pub struct Organisation {
-    /// Its name.
+    /// Name of the organisation.
     pub name: String,
-    /// The secret that its callers send.
+    /// Secret token that its callers send.
     #[serde(skip)]
     pub token: String,
-    /// Its priority, from 0 (lowest) to 9.
+    /// Priority of its requests, from 0 (lowest) to 9.
     pub priority: u8,
 }
 
-/// What stands behind a service.
+/// Kind of endpoints behind a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
@@ -229,104 +232,104 @@
     Plain,
 }
 
-/// A call that may not be repeated.
+/// Pattern of requests that may run at most once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct NonRepeatable {
-    /// The method, in capitals.
+    /// HTTP method, in capitals.
     pub method: String,
-    /// What the path, within the service, begins with.
+    /// Prefix of the path within the service.
     pub path: String,
 }
 
 /// A service.
 #[derive(Debug, Clone, Serialize)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// What stands behind it.
+    /// Kind of its endpoints.
     pub kind: ServiceKind,
-    /// Models that it serves, for a model service.
+    /// Models that it serves; empty unless it is a model service.
     pub models: Vec<String>,
-    /// Calls that may not be repeated.
+    /// Requests that may run at most once.
     pub non_repeatable: Vec<NonRepeatable>,
-    /// Header with which an endpoint says that it did not run a call it answers with 503.
+    /// Header by which an endpoint marks a 503 response to a request that it has not run.
     pub not_run_header: Option<String>,
-    /// How long a caller is served at most.
+    /// Maximum time for serving a request, retries included.
     pub deadline: Duration,
-    /// How long a request waits for an endpoint.
+    /// Maximum time that a request waits for an available endpoint.
     #[serde(rename = "patience")]
     pub endpoint_wait_timeout: Duration,
-    /// Longest silence of an endpoint before an attempt counts as broken.
+    /// Time without any bytes from the endpoint after which an attempt has failed.
     #[serde(rename = "stall")]
     pub stall_timeout: Duration,
-    /// Most attempts before an answer begins.
+    /// Maximum number of attempts until the response begins.
     pub max_attempts: u32,
-    /// Retries allowed for each hundred requests.
+    /// Retry budget, in retries per hundred requests.
     pub retry_percent: u32,
 }
 
 impl Service {
-    /// Whether a call may run at most once.
+    /// Whether a request with this method and path may run at most once.
     pub fn is_non_repeatable(&self, method: &str, path: &str) -> bool {
         let matches = |call: &NonRepeatable| call.method == method && path.starts_with(&call.path);
         self.non_repeatable.iter().any(matches)
     }
 }
 
-/// How endpoints are chosen.
+/// Selection of endpoints for requests.
 #[derive(Debug, Clone, Serialize)]
 pub struct Routing {
-    /// The policy.
+    /// Policy that selects an endpoint.
     pub policy: Policy,
-    /// Seed of its random numbers, together with the box's name.
+    /// Seed of the policy's random numbers, combined with the name of the box.
     pub seed: u64,
-    /// Whether a call that may run at most once gets a new connection. An idle one may be closing
-    /// at that moment, which leaves the call's outcome unknown for no good reason; but a new one
-    /// costs time.
+    /// Whether a request that may run at most once is sent over a new connection. The endpoint may
+    /// be closing an idle connection at that moment, which would leave the request's outcome
+    /// unknown without need; a new connection costs time.
     pub fresh_for_at_most_once: bool,
 }
 
-/// Limits on what callers send and hold.
+/// Limits for requests and connections of callers.
 #[derive(Debug, Clone, Serialize)]
 pub struct Limits {
-    /// Most bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Bytes that wait for a slow caller before its endpoint is read no further.
+    /// Bytes buffered for a slow caller at which reading from its endpoint pauses.
     pub stream_bytes: usize,
-    /// Most bytes of a plain answer that are held back until it is whole.
+    /// Maximum bytes of a plain response that are buffered until it is complete.
     pub answer_bytes: usize,
-    /// Most requests open at once.
+    /// Maximum number of open requests.
     pub open_requests: usize,
     /// How long a caller may leave its stream unread.
     #[serde(rename = "caller_stall")]
     pub caller_stall_timeout: Duration,
 }
 
-/// How the process stops.
+/// Timing of a planned stop.
 #[derive(Debug, Clone, Serialize)]
 pub struct Stop {
-    /// Time between losing readiness and refusing new work.
+    /// Time between becoming unready and refusing new requests.
     #[serde(rename = "accept")]
     pub accept_grace: Duration,
-    /// Time for open requests to finish after that.
+    /// Maximum time for open requests to finish after that.
     #[serde(rename = "finish")]
     pub drain_timeout: Duration,
 }
 
 impl Settings {
-    /// Finds the organisation that holds `token`.
+    /// Finds the organisation with this token.
     pub fn organisation_of(&self, token: &str) -> Option<&Organisation> {
         self.organisations.iter().find(|organisation| organisation.token == token)
     }
 
-    /// Finds the service that serves `model`.
+    /// Index of the service that serves `model`.
     pub fn service_of_model(&self, model: &str) -> Option<usize> {
         self.services.iter().position(|service| service.models.iter().any(|m| m == model))
     }
 
-    /// Finds a service by name.
+    /// Index of the service with this name.
     pub fn service_named(&self, name: &str) -> Option<usize> {
         self.services.iter().position(|service| service.name == name)
     }
--- a/crates/vaneway-server/src/ops/check.rs
+++ b/crates/vaneway-server/src/ops/check.rs
@@ -1,15 +1,15 @@
-//! `vaneway check`: reads a settings file and reports every finding.
+//! `vaneway check`: validates a settings file and reports every finding.
 
 use std::path::Path;
 
 use crate::core::settings;
 use crate::core::settings::ProcessSettings;
 
-/// Checks the settings file at `path` and returns one line that sums it up.
+/// Validates the settings file at `path` and returns a one-line summary of it.
 ///
 /// # Errors
 ///
-/// If the file can't be read, or with every finding in it.
+/// If the file can't be read or has findings; the error lists all of them.
 pub fn check(path: &Path) -> eyre::Result<String> {
     let settings = match settings::read_process_file(path)? {
         ProcessSettings::Entry(settings) => settings,
--- a/crates/vaneway-server/src/ops/client.rs
+++ b/crates/vaneway-server/src/ops/client.rs
@@ -1,4 +1,4 @@
-//! A connection to the operators' address of a process.
+//! gRPC client for the operators' interface of a process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,17 +19,17 @@
 
 use crate::proto::v1::operators_client::OperatorsClient;
 
-/// Where and as whom to call.
+/// The process to call, and the credentials for it.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// The operators' address of a process.
+    /// The operators' address of the process.
     pub address: SocketAddr,
-    /// The operator's token, if the process asks for one.
+    /// The operator's token, if the process requires one.
     pub token: Option<String>,
 }
 
-/// Longest wait for the connection.
-const CONNECT_WITHIN: Duration = Duration::from_secs(5);
+/// Maximum time for establishing the connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Adds the operator's token to every call.
 #[derive(Debug, Clone)]
@@ -44,14 +44,14 @@
     }
 }
 
-/// A client for one connection whose calls are made by `F`.
+/// A client for one connection, which sends requests through `F`.
 pub type Client<F> = OperatorsClient<InterceptedService<ServiceFn<F>, AddToken>>;
 
 /// Connects to a process.
 ///
 /// # Errors
 ///
-/// If the process does not answer, or the token has characters that a header can't carry.
+/// If the process can't be reached, or the token has characters that are invalid in a header.
 pub async fn connect(
     target: &Target,
 ) -> eyre::Result<
@@ -64,10 +64,10 @@
     >,
 > {
     let address = target.address;
-    let context = || format!("failed to reach the operators' address {address}");
-    let stream = compio::time::timeout(CONNECT_WITHIN, TcpStream::connect(address))
+    let context = || format!("failed to connect to the operators' address {address}");
+    let stream = compio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
-        .map_err(|elapsed| eyre!("no answer: {elapsed}"))
+        .map_err(|elapsed| eyre!("connection timed out: {elapsed}"))
         .and_then(|connected| connected.map_err(eyre::Report::from))
         .wrap_err_with(context)?;
     let (tx, connection) = http2::handshake(CompioExecutor, HyperStream::new_plain(stream))
@@ -80,7 +80,8 @@
     })
     .detach();
     let token = target.token.as_ref().map(|token| format!("Bearer {token}").parse());
-    let token = token.transpose().wrap_err("the token can't be sent in a header")?;
+    let token =
+        token.transpose().wrap_err("the token has characters that are invalid in a header")?;
     let send = move |req: hyper::Request<Body>| {
         let mut tx = tx.clone();
         Box::pin(async move { tx.send_request(req).await })
@@ -91,7 +92,7 @@
     Ok(OperatorsClient::with_origin(service, origin))
 }
 
-/// Turns an error of a call into one that says what to do.
-pub fn explain(status: &Status) -> eyre::Report {
+/// Converts the error status of a call into a report.
+pub fn status_error(status: &Status) -> eyre::Report {
     eyre!("the process answered {}: {}", status.code(), status.message())
 }
--- a/crates/vaneway-server/src/ops/configuration.rs
+++ b/crates/vaneway-server/src/ops/configuration.rs
@@ -1,6 +1,6 @@
-//! `vanectl apply` and `vanectl config`: puts a configuration in force, and reads the newest.
+//! `vanectl apply` and `vanectl config`: applies a configuration, and reads the newest one.
 //!
-//! They call a control box over HTTP and follow it to the one that leads.
+//! Both call a control box over HTTP and follow its redirect to the leader.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -22,23 +22,24 @@
 use crate::util::clock;
 use crate::util::timers::Timers;
 
-/// Path of the configuration.
-const PATH: &str = "/v1/configuration";
+/// Path of the configuration resource.
+const CONFIGURATION_PATH: &str = "/v1/configuration";
 
-/// Control boxes asked one after the other at most.
-const HOPS_MOST: usize = 3;
+/// Maximum number of control boxes queried, including redirects.
+const MAX_HOPS: usize = 3;
 
-/// How long one call may take.
-const ANSWER_WITHIN: Duration = Duration::from_secs(5);
+/// Maximum time for one call.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Largest answer that is read.
-const ANSWER_BYTES_MOST: usize = 32 << 20;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
 
-/// Puts the configuration in the file at `path` in force and returns one line about it.
+/// Applies the configuration in the file at `path` and returns a one-line summary.
 ///
 /// # Errors
 ///
-/// If the file can't be read, no control box takes it, or with every finding in it.
+/// If the file can't be read, no control box accepts the configuration, or it has findings; the
+/// error lists all of them.
 pub async fn apply(target: &Target, path: &Path) -> eyre::Result<String> {
     let context = || format!("failed to read `{}`", path.display());
     let document = std::fs::read(path).wrap_err_with(context)?;
@@ -57,17 +58,17 @@
 ///
 /// # Errors
 ///
-/// If no control box can tell it now.
+/// If no control box can serve it now.
 pub async fn config(target: &Target) -> eyre::Result<String> {
     let (status, body) = call(target.address, Method::GET, Bytes::new()).await?;
-    let answer: Value = serde_json::from_slice(&body).wrap_err("failed to read the answer")?;
+    let answer: Value = serde_json::from_slice(&body).wrap_err("failed to parse the response")?;
     if !status.is_success() {
         bail!("the control box answered {status}: {}", answer["error"]);
     }
     Ok(format!("{answer:#}\n"))
 }
 
-/// Calls a control box, and the one that leads if another is asked first.
+/// Calls a control box and follows redirects to the leader.
 async fn call(
     address: SocketAddr,
     method: Method,
@@ -76,16 +77,16 @@
     let timers = Timers::spawn();
     let connections = ConnectionPool::default();
     let mut address = address;
-    for _ in 0..HOPS_MOST {
+    for _ in 0..MAX_HOPS {
         let req = Request::builder()
             .method(method.clone())
-            .uri(PATH)
+            .uri(CONFIGURATION_PATH)
             .header(HOST, address.to_string())
             .body(Full::new(body.clone()))
-            .wrap_err("failed to write the request")?;
-        let until = clock::now() + ANSWER_WITHIN;
+            .wrap_err("failed to build the request")?;
+        let deadline = clock::now() + RESPONSE_TIMEOUT;
         let (head, body) = connections
-            .exchange_head(&timers, address, req, ANSWER_BYTES_MOST, until)
+            .exchange_head(&timers, address, req, MAX_RESPONSE_BYTES, deadline)
             .await
             .wrap_err_with(|| format!("failed to reach the control box at {address}"))?;
         if head.status != StatusCode::TEMPORARY_REDIRECT {
@@ -95,7 +96,7 @@
         let leader = leader.and_then(|url| url.strip_prefix("http://")?.split('/').next());
         address = leader
             .and_then(|leader| leader.parse().ok())
-            .ok_or_else(|| eyre::eyre!("the control box at {address} names no leader"))?;
+            .ok_or_else(|| eyre::eyre!("redirect from {address} has no valid leader address"))?;
     }
-    bail!("the control boxes name each other as leader, try again")
+    bail!("the control boxes redirect to each other, try again once a leader is elected")
 }
--- a/crates/vaneway-server/src/ops/dump.rs
+++ b/crates/vaneway-server/src/ops/dump.rs
@@ -1,4 +1,4 @@
-//! `vanectl dump`: shows the whole state of a process.
+//! `vanectl dump`: shows the complete state of a process.
 
 use eyre::WrapErr as _;
 use serde_json::Value;
@@ -11,11 +11,11 @@
 ///
 /// # Errors
 ///
-/// If the process can't be reached or refuses the call.
+/// If the process can't be reached or rejects the call.
 pub async fn dump(target: &Target) -> eyre::Result<String> {
     let mut client = client::connect(target).await?;
     let response = client.dump(v1::DumpRequest {}).await;
-    let json = response.map_err(|status| client::explain(&status))?.into_inner().json;
-    let state: Value = serde_json::from_str(&json).wrap_err("failed to read the state")?;
+    let json = response.map_err(|status| client::status_error(&status))?.into_inner().json;
+    let state: Value = serde_json::from_str(&json).wrap_err("failed to parse the state")?;
     Ok(format!("{state:#}\n"))
 }
--- a/crates/vaneway-server/src/ops/endpoints.rs
+++ b/crates/vaneway-server/src/ops/endpoints.rs
@@ -1,4 +1,4 @@
-//! `vanectl endpoints`: lists the endpoints as one process sees them.
+//! `vanectl endpoints`: lists the endpoints in the state that one process knows.
 
 use serde_json::json;
 
@@ -11,19 +11,19 @@
 ///
 /// # Errors
 ///
-/// If the process can't be reached or refuses the call.
+/// If the process can't be reached or rejects the call.
 pub async fn endpoints(target: &Target, service: String, json: bool) -> eyre::Result<String> {
     let mut client = client::connect(target).await?;
     let request = v1::ListEndpointsRequest { service };
     let response =
-        client.list_endpoints(request).await.map_err(|status| client::explain(&status))?;
+        client.list_endpoints(request).await.map_err(|status| client::status_error(&status))?;
     let listed = response.into_inner().endpoints;
     if json {
         let listed: Vec<_> = listed.iter().map(to_json).collect();
         return Ok(format!("{:#}\n", json!(listed)));
     }
     let rows: Vec<_> = listed.iter().map(to_row).collect();
-    Ok(table::layout(
+    Ok(table::format_table(
         &["replica", "service", "address", "availability zone", "state", "open", "gone in ms"],
         &rows,
     ))
--- a/crates/vaneway-server/src/ops/mod.rs
+++ b/crates/vaneway-server/src/ops/mod.rs
@@ -1,4 +1,4 @@
-//! One operation a file, named for the subcommand that calls it.
+//! The operations behind the subcommands, one in each file.
 
 pub mod check;
 pub mod client;
--- a/crates/vaneway-server/src/ops/quarantine.rs
+++ b/crates/vaneway-server/src/ops/quarantine.rs
@@ -1,4 +1,4 @@
-//! `vanectl quarantine` and `vanectl release`: requests under which endpoints ended.
+//! `vanectl quarantine` and `vanectl release`: requests that crashed endpoints.
 
 use serde_json::json;
 
@@ -7,22 +7,22 @@
 use crate::ops::table;
 use crate::proto::v1;
 
-/// Returns the list of one process as text for the terminal, or as JSON.
+/// Returns the list of quarantined requests as text for the terminal, or as JSON.
 ///
 /// # Errors
 ///
-/// If the process can't be reached or refuses the call.
+/// If the process can't be reached or rejects the call.
 pub async fn quarantine(target: &Target, json: bool) -> eyre::Result<String> {
     let mut client = client::connect(target).await?;
     let response = client.list_quarantine(v1::ListQuarantineRequest {}).await;
-    let response = response.map_err(|status| client::explain(&status))?;
+    let response = response.map_err(|status| client::status_error(&status))?;
     let listed = response.into_inner().requests;
     if json {
         let listed: Vec<_> = listed.iter().map(to_json).collect();
         return Ok(format!("{:#}\n", json!(listed)));
     }
     let rows: Vec<_> = listed.iter().map(to_row).collect();
-    Ok(table::layout(&["fingerprint", "verdict", "endpoints that ended"], &rows))
+    Ok(table::format_table(&["fingerprint", "verdict", "crashed endpoints"], &rows))
 }
 
 fn to_json(request: &v1::QuarantinedRequest) -> serde_json::Value {
@@ -37,15 +37,16 @@
     vec![request.fingerprint.clone(), request.verdict.clone(), request.endpoints.join(" ")]
 }
 
-/// Clears a request, so that it runs again if its caller sends it.
+/// Releases a request from quarantine, so that it is run again if its caller sends it.
 ///
 /// # Errors
 ///
-/// If the process can't be reached, refuses the call, or holds nothing against such a request.
+/// If the process can't be reached or rejects the call, or if nothing is recorded against a request
+/// with this fingerprint.
 pub async fn release(target: &Target, fingerprint: String) -> eyre::Result<String> {
     let mut client = client::connect(target).await?;
-    let text = format!("released {fingerprint}; the other entry boxes hear of it\n");
+    let text = format!("released {fingerprint}; the other entry boxes will be notified\n");
     let response = client.release_request(v1::ReleaseRequestRequest { fingerprint }).await;
-    response.map_err(|status| client::explain(&status))?;
+    response.map_err(|status| client::status_error(&status))?;
     Ok(text)
 }
--- a/crates/vaneway-server/src/ops/replicas.rs
+++ b/crates/vaneway-server/src/ops/replicas.rs
@@ -1,4 +1,4 @@
-//! `vanectl replicas`: lists the replicas as the settings name them.
+//! `vanectl replicas`: lists the replicas in the settings of a process.
 
 use serde_json::json;
 
@@ -11,19 +11,19 @@
 ///
 /// # Errors
 ///
-/// If the process can't be reached or refuses the call.
+/// If the process can't be reached or rejects the call.
 pub async fn replicas(target: &Target, service: String, json: bool) -> eyre::Result<String> {
     let mut client = client::connect(target).await?;
     let request = v1::ListReplicasRequest { service };
     let response =
-        client.list_replicas(request).await.map_err(|status| client::explain(&status))?;
+        client.list_replicas(request).await.map_err(|status| client::status_error(&status))?;
     let listed = response.into_inner().replicas;
     if json {
         let listed: Vec<_> = listed.iter().map(to_json).collect();
         return Ok(format!("{:#}\n", json!(listed)));
     }
     let rows: Vec<_> = listed.iter().map(to_row).collect();
-    Ok(table::layout(
+    Ok(table::format_table(
         &["name", "service", "address", "availability zone", "box", "reclaimable"],
         &rows,
     ))
--- a/crates/vaneway-server/src/ops/run.rs
+++ b/crates/vaneway-server/src/ops/run.rs
@@ -1,4 +1,4 @@
-//! `vaneway run`: runs an entry or control box until it is told to stop.
+//! `vaneway run`: runs an entry or control box until it is signalled to stop.
 
 use std::io;
 use std::path::Path;
@@ -27,34 +27,34 @@
 
 /// Signal numbers, which are the same on every Unix that compio runs on.
 mod signal_number {
-    /// Asks for a dump of the state.
+    /// SIGHUP requests a dump of the state.
     pub const HANGUP: i32 = 1;
-    /// Asks for a planned stop from a terminal.
+    /// SIGINT requests a planned stop from a terminal.
     pub const INTERRUPT: i32 = 2;
-    /// Asks for a planned stop.
+    /// SIGTERM requests a planned stop.
     pub const TERMINATE: i32 = 15;
 }
 
-/// The protocols that a process speaks with the outside.
+/// The external protocols of a process.
 pub trait Protocols {
-    /// Towards callers.
+    /// Protocol for callers of an entry box.
     type Callers: CallerProtocol;
-    /// Towards endpoints and operators of a control box.
+    /// Protocol for endpoints and operators of a control box.
     type Control: ControlProtocol;
-    /// Towards the cloud.
+    /// Protocol of the cloud's interface.
     type Cloud: CloudProtocol;
 
-    /// The callers' protocol of an entry box.
+    /// Creates the protocol for callers of an entry box.
     fn callers(&self) -> Self::Callers;
 
-    /// The protocol of a control box.
+    /// Creates the protocol for endpoints and operators of a control box.
     fn control(&self) -> Self::Control;
 
-    /// The cloud's protocol.
+    /// Creates the protocol of the cloud's interface.
     fn cloud(&self) -> Self::Cloud;
 }
 
-/// The product's own protocols.
+/// The native protocols of vaneway, as opposed to those of a platform.
 #[derive(Debug, Clone, Copy)]
 pub struct NativeProtocols;
 
@@ -76,18 +76,18 @@
     }
 }
 
-/// Runs an entry or control box with the settings at `path` until SIGTERM or SIGINT; SIGHUP writes
-/// its state to the log.
+/// Runs an entry or control box with the settings at `path` until SIGTERM or SIGINT. SIGHUP writes
+/// the state to the log.
 ///
 /// # Errors
 ///
-/// If the settings have findings, an address can't be bound, or the stop cut requests off.
+/// If the settings have findings, an address can't be bound, or the stop aborted requests.
 pub fn run<P: Protocols>(path: &Path, protocols: &P) -> eyre::Result<()> {
     let settings = settings::read_process_file(path)?;
     let runtime = compio::runtime::Runtime::new().wrap_err("failed to start the event loop")?;
     Line::new("loop").with("driver", format!("{:?}", runtime.driver_type())).info();
     runtime.block_on(async {
-        let signals = Signals::listen().wrap_err("failed to listen for signals")?;
+        let signals = Signals::listen().wrap_err("failed to install the signal handlers")?;
         match settings {
             ProcessSettings::Entry(settings) => {
                 run_entry(*settings, protocols.callers(), signals).await
@@ -106,11 +106,11 @@
 ) -> eyre::Result<()> {
     let entry = running::spawn_with(settings, callers).await?;
     let state = Rc::clone(entry.entry());
-    compio::runtime::spawn(logline::pass_on_waiting(state.timers.clone())).detach();
+    compio::runtime::spawn(logline::flush_periodically(state.timers.clone())).detach();
     signals.wait_for_stop(move || state.dump()).await?;
     match entry.stop().await {
         0 => Ok(()),
-        cut_off => bail!("the stop cut off {cut_off} requests; raise `$.stop.finish_ms`"),
+        aborted => bail!("the stop aborted {aborted} open requests; raise `$.stop.finish_ms`"),
     }
 }
 
@@ -122,16 +122,16 @@
 ) -> eyre::Result<()> {
     let control = control::running::spawn(settings, protocol, cloud).await?;
     let state = Rc::clone(control.control());
-    compio::runtime::spawn(logline::pass_on_waiting(state.timers.clone())).detach();
+    compio::runtime::spawn(logline::flush_periodically(state.timers.clone())).detach();
     signals.wait_for_stop(move || state.dump()).await?;
     control.stop().await;
     Ok(())
 }
 
-/// The signals that a process heeds.
+/// The signals that a process handles.
 ///
-/// Why from the first moment on and without a gap: where nothing listens, the system ends the process, also
-/// for a hangup.
+/// The handlers are installed as soon as the event loop runs and are never removed: the default
+/// action of all three signals, SIGHUP included, is to terminate the process.
 struct Signals {
     hangup: Signal,
     terminate: Signal,
@@ -139,7 +139,7 @@
 }
 
 impl Signals {
-    /// Listens from now on.
+    /// Installs the signal handlers.
     fn listen() -> io::Result<Self> {
         Ok(Self {
             hangup: Signal::listen(signal_number::HANGUP)?,
@@ -148,11 +148,12 @@
         })
     }
 
-    /// Waits until the process is asked to stop; each hangup writes `dump` to the log, also during the stop.
+    /// Waits for SIGTERM or SIGINT. Each SIGHUP writes `dump` to the log, also while the process is
+    /// stopping.
     async fn wait_for_stop(self, dump: impl Fn() -> Value + 'static) -> eyre::Result<()> {
         let Self { hangup, terminate, interrupt } = self;
         compio::runtime::spawn(dump_on_hangup(hangup, dump)).detach();
-        let (terminate, interrupt) = (pin!(terminate.came()), pin!(interrupt.came()));
+        let (terminate, interrupt) = (pin!(terminate.recv()), pin!(interrupt.recv()));
         let stopped = futures_util::future::select(terminate, interrupt).await;
         stopped.factor_first().0.wrap_err("failed to wait for a signal")
     }
@@ -160,7 +161,7 @@
 
 async fn dump_on_hangup(hangup: Signal, dump: impl Fn() -> Value) {
     loop {
-        match hangup.came().await {
+        match hangup.recv().await {
             Ok(()) => log::info!("event=dump state={}", dump()),
             Err(error) => {
                 log::warn!("event=hangups_not_heard error={error:?}");
--- a/crates/vaneway-server/src/ops/services.rs
+++ b/crates/vaneway-server/src/ops/services.rs
@@ -11,19 +11,19 @@
 ///
 /// # Errors
 ///
-/// If the process can't be reached or refuses the call.
+/// If the process can't be reached or rejects the call.
 pub async fn services(target: &Target, json: bool) -> eyre::Result<String> {
     let mut client = client::connect(target).await?;
     let request = v1::ListServicesRequest {};
     let response =
-        client.list_services(request).await.map_err(|status| client::explain(&status))?;
+        client.list_services(request).await.map_err(|status| client::status_error(&status))?;
     let listed = response.into_inner().services;
     if json {
         let listed: Vec<_> = listed.iter().map(to_json).collect();
         return Ok(format!("{:#}\n", json!(listed)));
     }
     let rows: Vec<_> = listed.iter().map(to_row).collect();
-    Ok(table::layout(&["name", "kind", "models", "replicas", "available"], &rows))
+    Ok(table::format_table(&["name", "kind", "models", "replicas", "available"], &rows))
 }
 
 fn to_json(service: &v1::Service) -> serde_json::Value {
--- a/crates/vaneway-server/src/ops/status.rs
+++ b/crates/vaneway-server/src/ops/status.rs
@@ -1,4 +1,4 @@
-//! `vanectl status`: says how a process is.
+//! `vanectl status`: shows the status of a process.
 
 use serde_json::json;
 
@@ -10,11 +10,11 @@
 ///
 /// # Errors
 ///
-/// If the process can't be reached or refuses the call.
+/// If the process can't be reached or rejects the call.
 pub async fn status(target: &Target, json: bool) -> eyre::Result<String> {
     let mut client = client::connect(target).await?;
     let response = client.get_status(v1::GetStatusRequest {}).await;
-    let status = response.map_err(|status| client::explain(&status))?.into_inner();
+    let status = response.map_err(|status| client::status_error(&status))?.into_inner();
     let v1::GetStatusResponse { name, availability_zone, phase, open_requests, version } = status;
     Ok(if json {
         let status = json!({
--- a/crates/vaneway-server/src/ops/table.rs
+++ b/crates/vaneway-server/src/ops/table.rs
@@ -1,14 +1,15 @@
-//! Plain tables for the terminal.
+//! Plain-text tables for the terminal.
 
-/// Lays rows out in columns of even width, the header first.
+/// Formats a header and rows as columns, each as wide as its widest cell.
 ///
 /// ```
-/// use vaneway_server::ops::table::layout;
+/// use vaneway_server::ops::table::format_table;
 ///
 /// let rows = vec![vec!["lm-scribes".to_owned(), "10".to_owned()]];
-/// assert_eq!(layout(&["name", "replicas"], &rows), "name        replicas\nlm-scribes  10\n");
+/// let table = format_table(&["name", "replicas"], &rows);
+/// assert_eq!(table, "name        replicas\nlm-scribes  10\n");
 /// ```
-pub fn layout(header: &[&str], rows: &[Vec<String>]) -> String {
+pub fn format_table(header: &[&str], rows: &[Vec<String>]) -> String {
     let header: Vec<String> = header.iter().map(|name| (*name).to_owned()).collect();
     let all: Vec<&Vec<String>> = std::iter::once(&header).chain(rows).collect();
     let widths: Vec<usize> = (0..header.len())
--- a/crates/vaneway-server/src/proto/mod.rs
+++ b/crates/vaneway-server/src/proto/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' schema, generated from `proto/`.
+//! The operators' gRPC interface, generated from `proto/`.
 //!
-//! The generated files are committed, so that the build needs no generator. A test generates them
-//! anew and compares; run it with `VANEWAY_BLESS=1` after a change of the schema.
+//! The generated files are committed, so that the build needs no generator. A test regenerates and
+//! compares them; run it with `VANEWAY_BLESS=1` to update them after a change of the schema.
 
 /// Version 1 of the operators' interface.
 #[allow(
--- a/crates/vaneway-server/src/proto/v1.rs
+++ b/crates/vaneway-server/src/proto/v1.rs
@@ -17,13 +17,13 @@
     pub models: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
     #[prost(uint32, tag = "4")]
     pub replicas: u32,
-    /// Endpoints that take new work now.
+    /// Number of endpoints that accept new requests now.
     #[prost(uint32, tag = "5")]
     pub available: u32,
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct ListReplicasRequest {
-    /// Only those of this service; all if empty.
+    /// Lists only those of this service; all if empty.
     #[prost(string, tag = "1")]
     pub service: ::prost::alloc::string::String,
 }
@@ -46,13 +46,13 @@
     pub r#box: ::prost::alloc::string::String,
     #[prost(bool, tag = "6")]
     pub reclaimable: bool,
-    /// Most requests this process has open there.
+    /// Maximum number of open requests of this process at the replica.
     #[prost(uint32, tag = "7")]
     pub max_open: u32,
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct ListEndpointsRequest {
-    /// Only those of this service; all if empty.
+    /// Lists only those of this service; all if empty.
     #[prost(string, tag = "1")]
     pub service: ::prost::alloc::string::String,
 }
@@ -81,7 +81,7 @@
     pub open_requests: u32,
     #[prost(uint64, tag = "8")]
     pub open_tokens: u64,
-    /// Milliseconds until a leaving endpoint is gone.
+    /// Milliseconds until a leaving endpoint terminates.
     #[prost(uint64, optional, tag = "9")]
     pub gone_in_ms: ::core::option::Option<u64>,
 }
@@ -110,13 +110,13 @@
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct QuarantinedRequest {
-    /// Names the request by its content, in hexadecimal digits.
+    /// Fingerprint of the request's content, in hexadecimal digits.
     #[prost(string, tag = "1")]
     pub fingerprint: ::prost::alloc::string::String,
     /// `cleared`, `suspected` or `condemned`.
     #[prost(string, tag = "2")]
     pub verdict: ::prost::alloc::string::String,
-    /// Endpoints that ended under it.
+    /// Endpoints that crashed while running it.
     #[prost(string, repeated, tag = "3")]
     pub endpoints: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
 }
@@ -239,7 +239,7 @@
                 .insert(GrpcMethod::new("vaneway.v1.Operators", "ListServices"));
             self.inner.unary(req, path, codec).await
         }
-        /// Lists the replicas as the settings name them.
+        /// Lists the replicas in the settings of the process.
         pub async fn list_replicas(
             &mut self,
             request: impl tonic::IntoRequest<super::ListReplicasRequest>,
@@ -264,7 +264,7 @@
                 .insert(GrpcMethod::new("vaneway.v1.Operators", "ListReplicas"));
             self.inner.unary(req, path, codec).await
         }
-        /// Lists the endpoints as this process sees them.
+        /// Lists the endpoints in the state that this process knows.
         pub async fn list_endpoints(
             &mut self,
             request: impl tonic::IntoRequest<super::ListEndpointsRequest>,
@@ -289,7 +289,7 @@
                 .insert(GrpcMethod::new("vaneway.v1.Operators", "ListEndpoints"));
             self.inner.unary(req, path, codec).await
         }
-        /// Says how the process is.
+        /// Returns the status of the process.
         pub async fn get_status(
             &mut self,
             request: impl tonic::IntoRequest<super::GetStatusRequest>,
@@ -314,7 +314,7 @@
                 .insert(GrpcMethod::new("vaneway.v1.Operators", "GetStatus"));
             self.inner.unary(req, path, codec).await
         }
-        /// Lists the requests under which endpoints ended, as this process knows.
+        /// Lists the requests that crashed endpoints, as known to this process.
         pub async fn list_quarantine(
             &mut self,
             request: impl tonic::IntoRequest<super::ListQuarantineRequest>,
@@ -339,7 +339,7 @@
                 .insert(GrpcMethod::new("vaneway.v1.Operators", "ListQuarantine"));
             self.inner.unary(req, path, codec).await
         }
-        /// Clears a request of all that is held against it, at every entry box.
+        /// Clears everything that is recorded against a request, at every entry box.
         pub async fn release_request(
             &mut self,
             request: impl tonic::IntoRequest<super::ReleaseRequestRequest>,
@@ -364,7 +364,7 @@
                 .insert(GrpcMethod::new("vaneway.v1.Operators", "ReleaseRequest"));
             self.inner.unary(req, path, codec).await
         }
-        /// Returns the process's whole state as JSON.
+        /// Returns the complete state of the process as JSON.
         pub async fn dump(
             &mut self,
             request: impl tonic::IntoRequest<super::DumpRequest>,
@@ -408,7 +408,7 @@
             tonic::Response<super::ListServicesResponse>,
             tonic::Status,
         >;
-        /// Lists the replicas as the settings name them.
+        /// Lists the replicas in the settings of the process.
         async fn list_replicas(
             &self,
             request: tonic::Request<super::ListReplicasRequest>,
@@ -416,7 +416,7 @@
             tonic::Response<super::ListReplicasResponse>,
             tonic::Status,
         >;
-        /// Lists the endpoints as this process sees them.
+        /// Lists the endpoints in the state that this process knows.
         async fn list_endpoints(
             &self,
             request: tonic::Request<super::ListEndpointsRequest>,
@@ -424,7 +424,7 @@
             tonic::Response<super::ListEndpointsResponse>,
             tonic::Status,
         >;
-        /// Says how the process is.
+        /// Returns the status of the process.
         async fn get_status(
             &self,
             request: tonic::Request<super::GetStatusRequest>,
@@ -432,7 +432,7 @@
             tonic::Response<super::GetStatusResponse>,
             tonic::Status,
         >;
-        /// Lists the requests under which endpoints ended, as this process knows.
+        /// Lists the requests that crashed endpoints, as known to this process.
         async fn list_quarantine(
             &self,
             request: tonic::Request<super::ListQuarantineRequest>,
@@ -440,7 +440,7 @@
             tonic::Response<super::ListQuarantineResponse>,
             tonic::Status,
         >;
-        /// Clears a request of all that is held against it, at every entry box.
+        /// Clears everything that is recorded against a request, at every entry box.
         async fn release_request(
             &self,
             request: tonic::Request<super::ReleaseRequestRequest>,
@@ -448,7 +448,7 @@
             tonic::Response<super::ReleaseRequestResponse>,
             tonic::Status,
         >;
-        /// Returns the process's whole state as JSON.
+        /// Returns the complete state of the process as JSON.
         async fn dump(
             &self,
             request: tonic::Request<super::DumpRequest>,
--- a/crates/vaneway-server/src/util/body.rs
+++ b/crates/vaneway-server/src/util/body.rs
@@ -1,4 +1,4 @@
-//! The body of a response to a caller.
+//! The body of an HTTP response.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -13,17 +13,17 @@
 use crate::util::outbox::OutboxBody;
 use crate::util::outbox::TruncatedBody;
 
-/// The body of a response to a caller: whole at once, or fed by a task.
+/// The body of an HTTP response: available at once, or streamed by a task.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// Known bytes.
+    /// A body whose bytes are all available.
     Full(Full<Bytes>),
-    /// Bytes as they come.
+    /// A body whose bytes are streamed by a task.
     Streamed(OutboxBody),
 }
 
 impl ResponseBody {
-    /// A body of known bytes.
+    /// Creates a body from its bytes.
     pub fn full(bytes: Bytes) -> Self {
         Self::Full(Full::new(bytes))
     }
@@ -41,7 +41,7 @@
             Self::Full(full) => {
                 Pin::new(full).poll_frame(cx).map(|f| f.map(|r| r.map_err(Into::into)))
             }
-            Self::Streamed(fed) => Pin::new(fed).poll_frame(cx),
+            Self::Streamed(streamed) => Pin::new(streamed).poll_frame(cx),
         }
     }
 
--- a/crates/vaneway-server/src/util/clock.rs
+++ b/crates/vaneway-server/src/util/clock.rs
@@ -1,7 +1,8 @@
-//! Where the process reads the time of day and the steady time.
+//! The clocks of the process: wall-clock time and a monotonic clock that includes suspended time.
 //!
-//! Why not `Instant::now`: a box may be suspended for seconds, and the standard library's steady clock does not count
-//! them. A leader's lease, a caller's deadline or the age of what others told would seem as fresh afterwards as before.
+//! `Instant::now` is not used, because a box may be suspended for seconds and the standard
+//! library's monotonic clock does not count them. After a suspension, a leader's lease, a caller's
+//! deadline or the age of data from other boxes would seem as fresh as before it.
 
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -9,45 +10,46 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-/// Time since 1970.
+/// Wall-clock time since the Unix epoch.
 pub fn since_epoch() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// The steady time, with all time in which the box was suspended.
+/// Monotonic time, including the time during which the box was suspended.
 pub fn now() -> Instant {
     static CLOCK: OnceLock<SteadyClock<fn() -> Duration>> = OnceLock::new();
     CLOCK.get_or_init(|| SteadyClock::new(since_boot)).now()
 }
 
-/// Steady time since `at`, with all time in which the box was suspended.
+/// Monotonic time since `at`, including the time during which the box was suspended.
 pub fn elapsed(at: Instant) -> Duration {
     now().saturating_duration_since(at)
 }
 
-/// Time since the system started, with all time in which it was suspended.
+/// Time since the operating system started, including the time during which it was suspended.
 fn since_boot() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32)
 }
 
-/// Tells a clock of its own as [`Instant`]s, so that all that reckons with these can go by it.
+/// A monotonic clock whose time is read by a function and returned as [`Instant`]s, so that it can
+/// replace the standard library's clock.
 #[derive(Debug)]
 pub struct SteadyClock<F> {
-    /// When it was made, by the standard library's clock and by its own.
-    made: (Instant, Duration),
+    /// Time of creation by the standard library's clock and by this one.
+    created: (Instant, Duration),
     read: F,
 }
 
 impl<F: Fn() -> Duration> SteadyClock<F> {
-    /// A clock whose time `read` tells; it must never go back.
+    /// Creates a clock whose time is read by `read`, which must never go backwards.
     pub fn new(read: F) -> Self {
-        Self { made: (Instant::now(), read()), read }
+        Self { created: (Instant::now(), read()), read }
     }
 
-    /// Its time.
+    /// The current time.
     pub fn now(&self) -> Instant {
-        let (at, told) = self.made;
-        at + (self.read)().saturating_sub(told)
+        let (at, read_at_creation) = self.created;
+        at + (self.read)().saturating_sub(read_at_creation)
     }
 }
--- a/crates/vaneway-server/src/util/command_line.rs
+++ b/crates/vaneway-server/src/util/command_line.rs
@@ -1,16 +1,16 @@
-//! What both programs' command lines have in common: exit codes and the printing of errors.
+//! Command-line conventions shared by both programs: exit codes and the printing of errors.
 
 use std::fmt::Write as _;
 use std::io::Write as _;
 use std::process::ExitCode;
 
-/// Exit code for a command that failed.
-pub const FAILED: u8 = 1;
+/// Exit code of a command that failed.
+pub const EXIT_FAILURE: u8 = 1;
 
-/// Exit code for a command line that can't be understood.
-pub const USAGE: u8 = 2;
+/// Exit code for an invalid command line.
+pub const EXIT_USAGE: u8 = 2;
 
-/// A command line that can't be understood.
+/// Error for an invalid command line.
 #[derive(Debug)]
 pub struct UsageError(pub String);
 
@@ -28,28 +28,28 @@
     }
 }
 
-/// Prints a command's output or its error with all causes, and returns the exit code.
-pub fn conclude(program: &str, result: eyre::Result<String>) -> ExitCode {
+/// Prints a command's output, or its error with all causes, and returns the exit code.
+pub fn report_result(program: &str, result: eyre::Result<String>) -> ExitCode {
     match result {
         Ok(output) => match std::io::stdout().write_all(output.as_bytes()) {
             Ok(()) => ExitCode::SUCCESS,
-            // The reader of a pipe went away, which is its right.
+            // The reader of a pipe may close it early, for example `head`; that is no error.
             Err(error) if error.kind() == std::io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
-            Err(_) => ExitCode::from(FAILED),
+            Err(_) => ExitCode::from(EXIT_FAILURE),
         },
         Err(error) => {
             let usage = error.is::<UsageError>();
-            eprint!("{}", describe(&error));
+            eprint!("{}", format_error(&error));
             if usage {
                 eprintln!("\nSee `{program} --help`.");
             }
-            ExitCode::from(if usage { USAGE } else { FAILED })
+            ExitCode::from(if usage { EXIT_USAGE } else { EXIT_FAILURE })
         }
     }
 }
 
-/// The text of an error and its causes.
-fn describe(error: &eyre::Report) -> String {
+/// Formats an error with all its causes.
+fn format_error(error: &eyre::Report) -> String {
     let mut text = format!("error: {error}\n");
     if error.chain().len() > 1 {
         text.push_str("\nCaused by:\n");
--- a/crates/vaneway-server/src/util/frames.rs
+++ b/crates/vaneway-server/src/util/frames.rs
@@ -1,11 +1,11 @@
-//! Frames of bytes over a TCP connection between two boxes of the system.
+//! Length-prefixed frames over a TCP connection between two boxes of the system.
 //!
-//! Why one task for both directions: a box has a handful of such connections, and what arrives on
-//! one mostly leads to something to send on it. [`drive`] writes what was queued in an [`SendQueue`]
-//! and hands each whole frame that arrives to a function, until the connection ends or the other
-//! side is silent for too long.
+//! [`drive`] writes the frames queued in a [`SendQueue`] and passes each complete frame that it
+//! receives to a function, until the connection ends or an idle timeout expires. One task serves
+//! both directions, since a box has a handful of such connections and most frames received on one
+//! lead to a frame to send on it.
 //!
-//! A frame is its length (`u32`, little-endian) and its payload.
+//! A frame consists of its length (`u32`, little-endian) and its payload.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -25,16 +25,17 @@
 use crate::util::socket::SocketStream;
 use crate::util::timers::Timers;
 
-/// Longest frame: a configuration of the largest body that operators may send, several times over.
-const FRAME_BYTES_MOST: usize = 32 << 20;
+/// Maximum length of a frame's payload: several times the largest configuration that operators may
+/// send.
+const MAX_FRAME_BYTES: usize = 32 << 20;
 
-/// Bytes read at once.
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 16 << 10;
 
-/// Bytes of a frame's length.
+/// Size of a frame's length prefix, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// A message as the frame in which it is sent, to encode it once for several peers.
+/// A message encoded as a frame, so that it is encoded once for several peers.
 #[derive(Debug, Clone)]
 pub struct EncodedFrame(Bytes);
 
@@ -43,7 +44,7 @@
     ///
     /// # Panics
     ///
-    /// If the message can't be encoded, which its type decides.
+    /// If the message can't be encoded, which depends on its type only.
     pub fn new<T: Serialize>(message: &T) -> Self {
         let mut frame = vec![0; LENGTH_BYTES];
         frame = postcard::to_extend(message, frame).expect("messages can be encoded");
@@ -52,124 +53,129 @@
         Self(Bytes::from(frame))
     }
 
-    /// The whole frame.
+    /// The encoded frame with its length prefix.
     pub fn frame(&self) -> &Bytes {
         &self.0
     }
 }
 
-/// How long a connection may be silent.
+/// Time without received bytes after which a connection has failed.
 #[derive(Debug, Clone, Copy)]
 pub struct IdleTimeouts {
-    /// Of the other side's operating system, which answers also while its process is busy.
+    /// Timeout for the peer's operating system, which acknowledges segments and keepalive probes
+    /// even while its process is busy.
     pub host: Duration,
-    /// Of the other side's process.
+    /// Timeout for the peer's process.
     pub process: Duration,
 }
 
-/// Moves frames in both directions until the connection ends, is closed, or brings nothing for longer than
-/// `silence` allows. Returns why it ended, for the log: closed by either side, the operating system's
-/// error, too long a silence, or a frame that is too long.
+/// Sends and receives frames until the connection ends, is closed, or an idle timeout expires.
+/// Returns the reason for the log: closed by either side, an error of the operating system, an idle
+/// timeout, or a frame that is too long.
 pub async fn drive(
     timers: &Timers,
     stream: &SocketStream,
-    outgoing: &SendQueue,
-    silence: IdleTimeouts,
+    queue: &SendQueue,
+    timeouts: IdleTimeouts,
     on_frame: impl AsyncFnMut(&[u8]),
 ) -> String {
-    if let Err(error) = stream.set_peer_timeout(silence.host) {
+    if let Err(error) = stream.set_peer_timeout(timeouts.host) {
         log::warn!("event=socket_option_failed error={error:?}");
     }
-    let ended = move_frames(timers, stream, outgoing, silence.process, on_frame).await;
-    outgoing.close();
+    let ended = exchange_frames(timers, stream, queue, timeouts.process, on_frame).await;
+    queue.close();
     ended.err().map_or_else(|| "closed".to_owned(), |error| error.to_string())
 }
 
-async fn move_frames(
+async fn exchange_frames(
     timers: &Timers,
     stream: &SocketStream,
-    outgoing: &SendQueue,
-    silence: Duration,
+    queue: &SendQueue,
+    idle_timeout: Duration,
     mut on_frame: impl AsyncFnMut(&[u8]),
 ) -> io::Result<()> {
-    let mut held = BytesMut::new();
-    let mut drained = false;
+    let mut received = BytesMut::new();
+    let mut socket_drained = false;
     loop {
-        let until = clock::now() + silence;
+        let until = clock::now() + idle_timeout;
         let read = timers.timeout_at(
             until,
-            poll_fn(|cx| poll_both(stream, outgoing, (&mut held, &mut drained), cx)),
+            poll_fn(|cx| poll_both(stream, queue, (&mut received, &mut socket_drained), cx)),
         );
         match read.await {
             None => return Err(io::ErrorKind::TimedOut.into()),
             Some(Err(error)) => return Err(error),
             Some(Ok(0)) => return Ok(()),
             Some(Ok(_)) => {
-                take_frames(&mut held, &mut on_frame).await?;
-                outgoing.set_partial(held.len());
+                dispatch_frames(&mut received, &mut on_frame).await?;
+                queue.set_partial(received.len());
             }
         }
     }
 }
 
-/// Writes what it can and reads some bytes; 0 means that the connection ended.
+/// Writes queued frames and reads some bytes; 0 means that the connection ended.
 ///
-/// A read that filled less than was offered found all that had come. The next one waits until the socket is
-/// ready before it asks the system: this is polled after each read and for each write, and would
-/// mostly find nothing.
+/// A read that does not fill the buffer has drained the socket, so the next one first waits until
+/// the socket is readable. This function is polled after each read and for each write, and most of
+/// the system calls would otherwise find nothing to read.
 fn poll_both(
     stream: &SocketStream,
-    outgoing: &SendQueue,
-    (held, drained): (&mut BytesMut, &mut bool),
+    queue: &SendQueue,
+    (received, socket_drained): (&mut BytesMut, &mut bool),
     cx: &mut Context<'_>,
 ) -> Poll<io::Result<usize>> {
-    if let Poll::Ready(written) = outgoing.poll_write(stream, cx) {
+    if let Poll::Ready(written) = queue.poll_write(stream, cx) {
         return Poll::Ready(written.map(|()| 0));
     }
-    if *drained {
+    if *socket_drained {
         std::task::ready!(stream.poll_recv_ready(cx))?;
-        *drained = false;
+        *socket_drained = false;
     }
     READ_BUF.with_borrow_mut(|buf| {
         let count = std::task::ready!(stream.poll_recv(cx, buf))?;
-        *drained = count < buf.len();
-        held.extend_from_slice(&buf[..count]);
+        *socket_drained = count < buf.len();
+        received.extend_from_slice(&buf[..count]);
         Poll::Ready(Ok(count))
     })
 }
 
 thread_local! {
-    /// What was read last; one for all connections, since each hands it on at once.
+    /// Read buffer shared by all connections, since each copies the bytes out at once.
     static READ_BUF: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_BYTES]);
 }
 
-/// Hands whole frames on.
-async fn take_frames(held: &mut BytesMut, on_frame: &mut impl AsyncFnMut(&[u8])) -> io::Result<()> {
-    while let Some(frame) = take_frame(held)? {
+/// Passes each complete frame in `received` to `on_frame`.
+async fn dispatch_frames(
+    received: &mut BytesMut,
+    on_frame: &mut impl AsyncFnMut(&[u8]),
+) -> io::Result<()> {
+    while let Some(frame) = take_frame(received)? {
         on_frame(&frame).await;
     }
     Ok(())
 }
 
-/// Takes the payload of the first frame from what has arrived; none if it is not whole yet.
+/// Removes the first frame from the received bytes and returns its payload, or `None` if the frame
+/// is not complete yet.
 ///
 /// # Errors
 ///
-/// If the frame is longer than any that is sent.
-pub fn take_frame(held: &mut BytesMut) -> io::Result<Option<BytesMut>> {
-    let Some(length) = held.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+/// If the frame is longer than the maximum length.
+pub fn take_frame(received: &mut BytesMut) -> io::Result<Option<BytesMut>> {
+    let Some(length) = received.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_le_bytes(*length) as usize;
-    if length > FRAME_BYTES_MOST {
+    if length > MAX_FRAME_BYTES {
         return Err(io::ErrorKind::InvalidData.into());
     }
-    if held.len() < LENGTH_BYTES + length {
+    if received.len() < LENGTH_BYTES + length {
         return Ok(None);
     }
-    held.advance(LENGTH_BYTES);
-    Ok(Some(held.split_to(length)))
+    received.advance(LENGTH_BYTES);
+    Ok(Some(received.split_to(length)))
 }
 
-/// Reads a message from a frame; none if it is in no known form.
+/// Decodes a message from a frame's payload; `None` if it can't be decoded.
 pub fn decode<T: DeserializeOwned>(frame: &[u8]) -> Option<T> {
     postcard::from_bytes(frame).ok()
 }
--- a/crates/vaneway-server/src/util/http_server.rs
+++ b/crates/vaneway-server/src/util/http_server.rs
@@ -1,11 +1,11 @@
-//! A listening address that answers HTTP/1.1, for callers, for endpoints and for probes.
+//! HTTP/1.1 server on one listening address, for callers, endpoints and probes.
 //!
-//! Limits on time: hyper ends a connection that rests for too long. A head that has begun must be
-//! whole within a shorter time, which is watched here: [`Activity`] notes when its first byte
+//! hyper closes a connection that is idle for too long. A request head that has begun must be
+//! complete within a shorter time, which is enforced here: [`Activity`] records when its first byte
 //! arrived.
 //!
 //! A planned stop ([`HttpServer::finish`]) closes the listening socket and idle connections, and
-//! each other connection behind its present answer.
+//! each other connection after its current response.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -41,57 +41,57 @@
 use crate::util::timers::Sleep;
 use crate::util::timers::Timers;
 
-/// Smallest read buffer that hyper accepts.
-const HEADER_BYTES_LEAST: usize = 8_192;
+/// Smallest read buffer that hyper accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// Limits of one connection.
+/// Limits for one connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// Most bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// How long a head may take from its first byte.
+    /// Maximum time from the first byte of a request's head until it is complete.
     pub header_timeout: Duration,
-    /// How long a connection may rest.
+    /// Maximum time that a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
 
 impl ConnectionLimits {
-    /// Limits for short questions and calls of the deployment's own, with heads of at most
+    /// Limits for probes and for short requests from within the deployment, with heads of at most
     /// `header_bytes`.
     pub fn for_internal_calls(header_bytes: usize) -> Self {
-        /// How long a head may take, and how long a connection may rest.
-        const HEAD_WITHIN: Duration = Duration::from_secs(5);
-        const IDLE_WITHIN: Duration = Duration::from_secs(30);
-        Self { header_bytes, header_timeout: HEAD_WITHIN, idle_timeout: IDLE_WITHIN }
+        const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
+        const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+        Self { header_bytes, header_timeout: HEADER_TIMEOUT, idle_timeout: IDLE_TIMEOUT }
     }
 }
 
-/// Answers requests.
+/// Handles the requests to a server.
 pub trait Handler: 'static {
-    /// Answers one request.
+    /// Handles one request.
     fn handle(
         self: Rc<Self>,
         req: Request<Incoming>,
     ) -> impl Future<Output = Response<ResponseBody>> + 'static;
 
-    /// Limits of a connection that is opened now.
+    /// Limits for a new connection.
     fn limits(&self) -> ConnectionLimits;
 
-    /// Learns that the number of open connections changed, which most handlers need not know.
+    /// Called with the new number of open connections whenever it changes. Does nothing by default,
+    /// since most handlers don't need the number.
     fn connections_changed(&self, _count: usize) {}
 }
 
-/// A listening address.
+/// A running HTTP server.
 #[derive(Debug)]
 pub struct HttpServer {
     address: SocketAddr,
-    /// Dropped to tell every connection to close after its present request.
+    /// Dropped to make every connection close after its current request.
     finish: oneshot::Sender<Infallible>,
 }
 
 type Finish = Shared<oneshot::Receiver<Infallible>>;
 
-/// Starts to listen on `addr`.
+/// Starts a server on `addr`.
 ///
 /// # Errors
 ///
@@ -115,7 +115,7 @@
     }
 
     /// Closes the listening socket, idle connections, and each other connection after its
-    /// present request.
+    /// current request.
     pub fn finish(self) {
         drop(self.finish);
     }
@@ -164,42 +164,42 @@
     }
 }
 
-/// Where a connection stands between two requests.
+/// Whether a connection has a request in progress, and since when it has received a request head.
 #[derive(Debug, Default)]
 pub struct Activity {
     busy: Cell<bool>,
-    head_since: Cell<Option<Instant>>,
+    head_started_at: Cell<Option<Instant>>,
 }
 
 impl Activity {
-    /// Notes that bytes arrived.
+    /// Records that bytes have been received.
     pub fn received(&self) {
-        if !self.busy.get() && self.head_since.get().is_none() {
-            self.head_since.set(Some(clock::now()));
+        if !self.busy.get() && self.head_started_at.get().is_none() {
+            self.head_started_at.set(Some(clock::now()));
         }
     }
 
-    fn begin(&self) {
+    fn begin_request(&self) {
         self.busy.set(true);
-        self.head_since.set(None);
+        self.head_started_at.set(None);
     }
 }
 
-/// Marks a connection as busy until its answer was sent.
+/// Marks a connection as busy until it is dropped, which happens once the response has been sent.
 #[derive(Debug)]
-struct Busy(Rc<Activity>);
+struct BusyGuard(Rc<Activity>);
 
-impl Drop for Busy {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
         self.0.busy.set(false);
     }
 }
 
-/// The body of an answer, during which the connection counts as busy.
+/// The body of a response; the connection counts as busy while it exists.
 #[derive(Debug)]
 struct ServedBody {
     body: ResponseBody,
-    _busy: Busy,
+    _busy_guard: BusyGuard,
 }
 
 impl Body for ServedBody {
@@ -232,26 +232,26 @@
     stream.watch(Rc::clone(&activity));
     let handler = Rc::clone(&count.handler);
     let limits = handler.limits();
-    let watched = Rc::clone(&activity);
-    // Boxed, so that its memory is free once the response has begun: hyper keeps the place of
-    // a handler for as long as the connection.
+    let watched_activity = Rc::clone(&activity);
+    // The future is boxed so that its memory is freed once the response has begun: hyper keeps the
+    // memory for a handler's future for the lifetime of the connection.
     let service = service_fn(move |req| {
-        let busy = Busy(Rc::clone(&activity));
-        activity.begin();
+        let guard = BusyGuard(Rc::clone(&activity));
+        activity.begin_request();
         let handler = Rc::clone(&handler);
         Box::pin(async move {
             let response = handler.handle(req).await;
-            Ok::<_, Infallible>(response.map(|body| ServedBody { body, _busy: busy }))
+            Ok::<_, Infallible>(response.map(|body| ServedBody { body, _busy_guard: guard }))
         })
     });
     let connection = http1::Builder::new()
         .timer(CompioTimer)
         .header_read_timeout(limits.idle_timeout)
-        .max_buf_size(limits.header_bytes.max(HEADER_BYTES_LEAST))
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(stream, service);
     futures_util::pin_mut!(connection);
     let mut finish = Some(finish);
-    let mut head_limit = None;
+    let mut header_timer = None;
     let served = poll_fn(|cx| {
         if let Some(finished) = &mut finish
             && finished.poll_unpin(cx).is_ready()
@@ -262,8 +262,14 @@
         if let Poll::Ready(served) = connection.as_mut().poll(cx) {
             return Poll::Ready(Some(served));
         }
-        let late = poll_head_limit(&watched, &timers, limits.header_timeout, &mut head_limit, cx);
-        late.map(|()| None)
+        let timed_out = poll_header_timeout(
+            &watched_activity,
+            &timers,
+            limits.header_timeout,
+            &mut header_timer,
+            cx,
+        );
+        timed_out.map(|()| None)
     });
     match served.await {
         Some(Ok(())) => {}
@@ -273,22 +279,22 @@
     drop(count);
 }
 
-/// Ready once a head that has begun takes too long.
-fn poll_head_limit(
+/// Ready once an incomplete request head has taken longer than `timeout`.
+fn poll_header_timeout(
     activity: &Activity,
     timers: &Timers,
-    within: Duration,
-    limit: &mut Option<Sleep>,
+    timeout: Duration,
+    timer: &mut Option<Sleep>,
     cx: &mut Context<'_>,
 ) -> Poll<()> {
-    match activity.head_since.get() {
+    match activity.head_started_at.get() {
         None => {
-            *limit = None;
+            *timer = None;
             Poll::Pending
         }
         Some(since) => {
-            let limit = limit.get_or_insert_with(|| timers.sleep_until(since + within));
-            limit.poll_unpin(cx)
+            let timer = timer.get_or_insert_with(|| timers.sleep_until(since + timeout));
+            timer.poll_unpin(cx)
         }
     }
 }
--- a/crates/vaneway-server/src/util/log_output.rs
+++ b/crates/vaneway-server/src/util/log_output.rs
@@ -1,11 +1,11 @@
-//! Where log lines go: a bounded amount, and never waiting for whoever reads them.
+//! Non-blocking, bounded log output.
 //!
-//! Why: everything runs on one thread, so a reader of standard output that falls behind would stop
-//! all requests, and a fault that makes every request log lines would spend the processor on them.
+//! Everything runs on one thread, so a slow reader of standard output would stall all requests, and
+//! a fault that makes every request log lines would use up the processor.
 //!
-//! Data flow: [`Budgets`] counts the lines of each kind of event and leaves out what is too many in
-//! one second; [`Output`] keeps what the reader has not taken up to a limit and drops whole lines
-//! beyond it. Both say later how much is missing.
+//! [`Budgets`] limits the rate of the lines of each kind of event and suppresses the excess;
+//! [`Output`] buffers what the reader has not consumed up to a limit and drops complete lines
+//! beyond it. The number of missing lines is logged later in both cases.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -18,43 +18,45 @@
 use rustix::event::PollFlags;
 use rustix::event::Timespec;
 
-/// Lines of one kind of event in a second: several times what an entry box of the users' aim (17
-/// requests a second each) logs if each of its requests fails with three attempts.
+/// Maximum number of lines of one kind of event in a second: several times what an entry box at the
+/// users' target load (17 requests a second per box) logs if each of its requests fails after three
+/// attempts.
 pub const MAX_LINES_PER_SECOND: u32 = 200;
 
-/// Length of the time over which lines are counted.
+/// Period over which lines are counted.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Bytes that may wait for the reader: a second of the most that budgets allow, roughly.
+/// Maximum number of bytes buffered for the reader: roughly a second of the most that the budgets
+/// allow.
 pub const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// Bytes that a pipe takes without waiting once it says that it can take some (`PIPE_BUF`).
+/// Number of bytes that a writable pipe accepts without blocking (`PIPE_BUF`).
 pub const PIPE_WRITE_BYTES: usize = 4_096;
 
-/// Lines of each kind in the present second.
+/// Counts the lines of each kind of event in the current period.
 #[derive(Debug, Default)]
 pub struct Budgets {
     since: Option<Instant>,
     lines: BTreeMap<String, u32>,
 }
 
-/// What becomes of a line.
+/// Whether a line is written, and which lines have been suppressed before it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Admission {
-    /// Whether it is written.
+    /// Whether the line is written.
     pub written: bool,
-    /// Kinds of which lines were left out in the second that is over, with how many.
+    /// Kinds of which lines were suppressed in the period that has ended, with their number.
     pub suppressed: Vec<(String, u32)>,
 }
 
 impl Budgets {
-    /// Counts a line of this kind.
+    /// Counts a line of this kind and decides whether it is written.
     pub fn admit(&mut self, now: Instant, kind: &str) -> Admission {
         let mut suppressed = Vec::new();
         if self.since.is_none_or(|since| now.saturating_duration_since(since) >= PERIOD) {
             self.since = Some(now);
-            let over = std::mem::take(&mut self.lines).into_iter();
-            suppressed.extend(over.filter_map(|(kind, lines)| {
+            let ended_period = std::mem::take(&mut self.lines).into_iter();
+            suppressed.extend(ended_period.filter_map(|(kind, lines)| {
                 let suppressed = lines.saturating_sub(MAX_LINES_PER_SECOND);
                 (suppressed > 0).then_some((kind, suppressed))
             }));
@@ -68,13 +70,13 @@
     }
 }
 
-/// Something that takes bytes.
+/// A destination of log lines.
 pub trait Sink: Write {
-    /// Whether it takes [`PIPE_WRITE_BYTES`] bytes without waiting.
+    /// Whether it accepts [`PIPE_WRITE_BYTES`] bytes without blocking.
     fn is_writable(&self) -> bool;
 }
 
-/// Standard output, without a buffer of its own.
+/// Unbuffered standard output.
 #[derive(Debug, Default)]
 pub struct Stdout;
 
@@ -92,26 +94,26 @@
     fn is_writable(&self) -> bool {
         let stdout = rustix::stdio::stdout();
         let mut fds = [PollFd::new(&stdout, PollFlags::OUT)];
-        let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-        match rustix::event::poll(&mut fds, Some(&at_once)) {
+        let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+        match rustix::event::poll(&mut fds, Some(&no_wait)) {
             Ok(ready) => ready > 0,
-            // Whatever can't be asked is written to as any program does.
+            // If standard output can't be polled, it is written to regardless.
             Err(_) => true,
         }
     }
 }
 
-/// Lines on their way to a sink that may fall behind.
+/// Buffer of lines for a sink whose reader may be slow.
 #[derive(Debug)]
 pub struct Output<S> {
     sink: S,
     buffered: VecDeque<u8>,
-    /// Lines dropped since the last one that was kept.
+    /// Number of lines dropped since the last one that was buffered.
     dropped: u64,
 }
 
 impl<S: Sink> Output<S> {
-    /// An output with nothing in it.
+    /// Creates an output with an empty buffer.
     pub const fn new(sink: S) -> Self {
         Self { sink, buffered: VecDeque::new(), dropped: 0 }
     }
@@ -121,12 +123,12 @@
         &mut self.sink
     }
 
-    /// Bytes that wait.
+    /// Number of buffered bytes.
     pub fn buffered(&self) -> usize {
         self.buffered.len()
     }
 
-    fn keep(&mut self, line: &[u8]) {
+    fn enqueue(&mut self, line: &[u8]) {
         if self.buffered.len() + line.len() > MAX_BUFFERED_BYTES {
             self.dropped += 1;
             return;
@@ -139,26 +141,26 @@
         self.buffered.extend(line);
     }
 
-    fn pass_on(&mut self) -> io::Result<()> {
+    fn write_buffered(&mut self) -> io::Result<()> {
         while !self.buffered.is_empty() && self.sink.is_writable() {
             let (first, _) = self.buffered.as_slices();
-            let piece = &first[..first.len().min(PIPE_WRITE_BYTES)];
-            let count = self.sink.write(piece)?;
+            let chunk = &first[..first.len().min(PIPE_WRITE_BYTES)];
+            let count = self.sink.write(chunk)?;
             self.buffered.drain(..count);
         }
         Ok(())
     }
 }
 
-/// Each call brings one line.
+/// Each call of [`Write::write`] must pass exactly one line.
 impl<S: Sink> Write for Output<S> {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        self.keep(buf);
-        self.pass_on()?;
+        self.enqueue(buf);
+        self.write_buffered()?;
         Ok(buf.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        self.pass_on()
+        self.write_buffered()
     }
 }
--- a/crates/vaneway-server/src/util/logline.rs
+++ b/crates/vaneway-server/src/util/logline.rs
@@ -1,6 +1,6 @@
-//! One line of key=value pairs for each event.
+//! Structured logging: one line of key=value pairs for each event.
 //!
-//! Lines are bounded for each kind of event and never wait for their reader; see
+//! Lines are rate-limited for each kind of event, and logging never blocks; see
 //! [`log_output`](crate::util::log_output).
 
 use std::cell::RefCell;
@@ -25,20 +25,20 @@
 /// Environment variable that sets the log level, for example `VANEWAY_LOG=debug`.
 pub const LEVEL_VARIABLE: &str = "VANEWAY_LOG";
 
-/// Time between two looks whether the reader takes what waits for it.
-const PASS_ON_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which buffered lines are written if the reader accepts them.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What all lines go through.
+/// The output of all log lines of the process.
 static OUTPUT: Mutex<Output<Stdout>> = Mutex::new(Output::new(Stdout));
 
 fn output() -> MutexGuard<'static, Output<Stdout>> {
     OUTPUT.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The logger's way to [`OUTPUT`].
-struct ToOutput;
+/// Writes the logger's lines to [`OUTPUT`].
+struct LogWriter;
 
-impl Write for ToOutput {
+impl Write for LogWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         output().write(buf)
     }
@@ -48,27 +48,29 @@
     }
 }
 
-/// Passes on lines that wait for their reader also while no others are logged, until dropped.
-pub async fn pass_on_waiting(timers: Timers) {
+/// Periodically writes buffered lines, so that they reach a slow reader even if no other lines are
+/// logged. Runs until dropped.
+pub async fn flush_periodically(timers: Timers) {
     loop {
-        timers.sleep(PASS_ON_EVERY).await;
-        // Where standard output is gone there is nowhere to say so.
-        let _passed_on = output().flush();
+        timers.sleep(FLUSH_INTERVAL).await;
+        // If standard output is closed, the error can't be reported anywhere.
+        let _flushed = output().flush();
     }
 }
 
-/// Sends log lines to standard output, from level `info` up unless the environment says otherwise.
+/// Installs a logger that writes to standard output. The default level is `info`; the environment
+/// variable [`LEVEL_VARIABLE`] overrides it.
 pub fn init() {
     let env = Env::new().filter_or(LEVEL_VARIABLE, "info,compio=warn,hyper=warn,cyper=warn");
     let mut builder = env_logger::Builder::from_env(env);
-    builder.target(Target::Pipe(Box::new(ToOutput)));
+    builder.target(Target::Pipe(Box::new(LogWriter)));
     builder.format(|out, record| {
         let since = clock::since_epoch();
         let level = record.level().as_str().to_ascii_lowercase();
         let millis = since.subsec_millis();
         writeln!(out, "time={}.{millis:03} level={level} {}", since.as_secs(), record.args())
     });
-    // A second call in one process, as tests make, keeps the first logger.
+    // A second call in one process, as in tests, keeps the first logger.
     let _already_set = builder.try_init();
 }
 
@@ -83,21 +85,21 @@
 #[derive(Debug, Clone)]
 pub struct Line(String);
 
-/// What every line begins with, before its kind.
+/// Prefix of every line, followed by the kind of event.
 const EVENT: &str = "event=";
 
 thread_local! {
-    /// Lines of each kind that this thread logged; all of a process's work is on one.
+    /// Rate limits of this thread's lines; a process does all of its work on one thread.
     static BUDGETS: RefCell<Budgets> = RefCell::default();
 }
 
 impl Line {
-    /// A line for `event`.
+    /// Creates a line for an event of kind `event`.
     pub fn new(event: &str) -> Self {
         Self(format!("{EVENT}{event}"))
     }
 
-    /// Adds a pair; a value with blanks or quotes is quoted.
+    /// Adds a pair. The value is quoted if it is empty or contains white space, quotes or `=`.
     ///
     /// # Panics
     ///
@@ -131,7 +133,8 @@
         self.log(Level::Info);
     }
 
-    /// Logs the line at level `debug`; where many would be made in vain, ask [`Line::debug_enabled`] first.
+    /// Logs the line at level `debug`. Check [`Line::debug_enabled`] first where building many
+    /// lines for nothing would be costly.
     pub fn debug(self) {
         self.log(Level::Debug);
     }
--- a/crates/vaneway-server/src/util/mod.rs
+++ b/crates/vaneway-server/src/util/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers without knowledge of the product.
+//! General-purpose helpers, independent of the serving logic.
 
 pub mod body;
 pub mod clock;
--- a/crates/vaneway-server/src/util/outbox.rs
+++ b/crates/vaneway-server/src/util/outbox.rs
@@ -1,9 +1,9 @@
-//! A bounded queue of bytes from a task to the response body that it feeds.
+//! A bounded queue of bytes from a task to the response body that it streams.
 //!
-//! Why: the caller may read more slowly than the endpoint answers. The writer sees when the queue
-//! is full and stops reading from the endpoint; it also learns at once when the caller is gone.
-//! Writer and reader live on one thread, so no lock or atomic is needed. What was queued since
-//! the last read leaves as one frame, which saves a system call for each chunk.
+//! The caller may read more slowly than the endpoint sends. The writer sees when the queue is full
+//! and stops reading from the endpoint; it is also woken as soon as the caller disconnects. Writer
+//! and reader run on one thread, so no lock or atomic is needed. All bytes queued since the last
+//! read are returned as one frame, which saves a system call for each chunk.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -22,20 +22,21 @@
 struct Queue {
     bytes: BytesMut,
     ended: Option<End>,
-    reader_gone: bool,
+    reader_dropped: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
 
-/// How the writer left.
+/// How the writer ended the body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum End {
     Complete,
     Truncated,
 }
 
-/// The writing end. Dropped without [`Outbox::finish`], it leaves a body that the reader sees cut
-/// off, so that no path that forgets an answer can pass a part of it off as whole.
+/// The writing end. If it is dropped without [`Outbox::finish`], the body fails with
+/// [`TruncatedBody`], so that a code path that abandons a response can't make a part of it look
+/// complete.
 #[derive(Debug)]
 pub struct Outbox {
     queue: Rc<RefCell<Queue>>,
@@ -46,13 +47,14 @@
 #[derive(Debug)]
 pub struct OutboxBody(Rc<RefCell<Queue>>);
 
-/// The answer was cut off on purpose, so that the caller can tell it from a whole one.
+/// Error of a body that ended before it was complete. It makes the server abort the connection, so
+/// that the caller can distinguish the response from a complete one.
 #[derive(Debug, Clone, Copy)]
 pub struct TruncatedBody;
 
 impl std::fmt::Display for TruncatedBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer was cut off")
+        f.write_str("the response was truncated")
     }
 }
 
@@ -64,41 +66,41 @@
     }
 }
 
-/// A queue that takes more while it holds less than `limit` bytes.
+/// Creates a queue that has capacity while it holds less than `limit` bytes.
 pub fn outbox(limit: usize) -> (Outbox, OutboxBody) {
     let queue = Rc::new(RefCell::new(Queue::default()));
     (Outbox { queue: Rc::clone(&queue), limit }, OutboxBody(queue))
 }
 
 impl Outbox {
-    /// Appends bytes, even beyond the limit.
+    /// Appends bytes, even if that exceeds the limit.
     pub fn push(&self, bytes: &[u8]) {
         let mut queue = self.queue.borrow_mut();
         queue.bytes.extend_from_slice(bytes);
         wake(&mut queue.reader);
     }
 
-    /// Whether there is room; otherwise the task is woken once there is.
+    /// Ready if the queue has capacity; otherwise the task is woken once it has.
     pub fn poll_capacity(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut queue = self.queue.borrow_mut();
         if queue.bytes.len() < self.limit {
             return Poll::Ready(());
         }
-        remember(&mut queue.writer, cx);
+        register_waker(&mut queue.writer, cx);
         Poll::Pending
     }
 
-    /// Whether the reader is gone; otherwise the task is woken once it is.
+    /// Ready if the reader has been dropped; otherwise the task is woken once it is.
     pub fn poll_closed(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut queue = self.queue.borrow_mut();
-        if queue.reader_gone {
+        if queue.reader_dropped {
             return Poll::Ready(());
         }
-        remember(&mut queue.writer, cx);
+        register_waker(&mut queue.writer, cx);
         Poll::Pending
     }
 
-    /// Ends the body as whole.
+    /// Ends the body as complete.
     pub fn finish(self) {
         self.queue.borrow_mut().ended = Some(End::Complete);
     }
@@ -115,7 +117,7 @@
 impl Drop for OutboxBody {
     fn drop(&mut self) {
         let mut queue = self.0.borrow_mut();
-        queue.reader_gone = true;
+        queue.reader_dropped = true;
         wake(&mut queue.writer);
     }
 }
@@ -138,7 +140,7 @@
             Some(End::Complete) => Poll::Ready(None),
             Some(End::Truncated) => Poll::Ready(Some(Err(TruncatedBody))),
             None => {
-                remember(&mut queue.reader, cx);
+                register_waker(&mut queue.reader, cx);
                 Poll::Pending
             }
         }
@@ -151,7 +153,7 @@
     }
 }
 
-fn remember(slot: &mut Option<Waker>, cx: &Context<'_>) {
+fn register_waker(slot: &mut Option<Waker>, cx: &Context<'_>) {
     match slot {
         Some(known) => known.clone_from(cx.waker()),
         None => *slot = Some(cx.waker().clone()),
--- a/crates/vaneway-server/src/util/send_queue.rs
+++ b/crates/vaneway-server/src/util/send_queue.rs
@@ -1,11 +1,15 @@
-//! What waits to be sent to another box.
+//! Queue of frames to send to another box.
 //!
-//! Why not one line of bytes: a box may read more slowly than there is news for it, and there are hundreds of boxes. So
-//! what is replaced by newer news of its kind is sent with a [`Topic`], of which only the newest waits; what goes to several
-//! boxes is encoded once and shared by their queues; and a box that nevertheless has too much waiting for it is not told less
-//! in silence: its connection is ended, and over the next one it is told all that counts then.
+//! A peer may read more slowly than updates for it arise, and there are hundreds of peers, so a
+//! plain byte buffer for each is not enough:
 //!
-//! [`BufferedBytes`] knows what the queues of a box hold in sum.
+//! - Messages that a newer one of the same kind replaces are sent with a [`Topic`]; only the newest
+//!   message of a topic is queued.
+//! - A message to several peers is encoded once, and its frame is shared by their queues.
+//! - If too many bytes are still queued for a peer, nothing is dropped silently: its connection is
+//!   closed, and the next connection begins with the full current state.
+//!
+//! [`BufferedBytes`] counts the bytes in all queues of a box.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -25,18 +29,18 @@
 use crate::util::logline::Line;
 use crate::util::socket::SocketStream;
 
-/// Bytes that wait for one peer at most, beside messages with a topic.
-const WAITING_BYTES_MOST: usize = 4 << 20;
+/// Maximum number of bytes queued for one peer, not counting messages with a topic.
+const MAX_QUEUED_BYTES: usize = 4 << 20;
 
-/// Length from which on a frame is shared by the queues in which it waits. Shorter ones are copied, so that many of them leave
-/// by one system call.
-const SHARED_FROM: usize = 16 << 10;
+/// Minimum length of frames that are shared between queues, in bytes. Shorter frames are copied, so
+/// that many of them are sent by one system call.
+const MIN_SHARED_BYTES: usize = 16 << 10;
 
-/// A kind of message of which only the newest waits for a peer.
+/// A kind of message of which only the newest is queued for a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Topic(pub u8);
 
-/// Bytes that the connections of a box hold, in sum.
+/// Number of bytes buffered for all connections of a box.
 #[derive(Debug, Default)]
 pub struct BufferedBytes {
     queued: Cell<usize>,
@@ -44,12 +48,12 @@
 }
 
 impl BufferedBytes {
-    /// Bytes that wait for peers, without messages with a topic.
+    /// Bytes queued for peers, not counting messages with a topic.
     pub fn queued(&self) -> usize {
         self.queued.get()
     }
 
-    /// Bytes that came of frames that are not whole yet.
+    /// Bytes received of incomplete frames.
     pub fn partial(&self) -> usize {
         self.partial.get()
     }
@@ -57,14 +61,14 @@
 
 #[derive(Debug)]
 enum Chunk {
-    /// Frames that were copied.
+    /// Short frames, copied into one buffer.
     Copied(BytesMut),
-    /// One frame that other queues may hold too.
+    /// One frame that other queues may share.
     Shared { frame: Bytes, topic: Option<Topic> },
 }
 
 impl Chunk {
-    fn rest(&mut self) -> &[u8] {
+    fn remaining(&mut self) -> &[u8] {
         match self {
             Self::Copied(bytes) => bytes,
             Self::Shared { frame, .. } => frame,
@@ -82,30 +86,30 @@
 #[derive(Debug)]
 struct Queue {
     chunks: VecDeque<Chunk>,
-    /// Whether a part of the first chunk was sent, so that the rest must follow.
-    begun: bool,
-    /// Bytes that wait, without messages with a topic.
+    /// Whether a part of the first chunk has been sent, so that the rest must follow.
+    first_chunk_begun: bool,
+    /// Bytes queued, not counting messages with a topic.
     queued: usize,
-    /// Bytes that came of a frame that is not whole yet.
+    /// Bytes received of an incomplete frame.
     partial: usize,
     closed: bool,
     waker: Option<Waker>,
-    held: Rc<BufferedBytes>,
+    buffered: Rc<BufferedBytes>,
 }
 
 impl Drop for Queue {
     fn drop(&mut self) {
-        self.held.queued.update(|sum| sum - self.queued);
-        self.held.partial.update(|sum| sum - self.partial);
+        self.buffered.queued.update(|sum| sum - self.queued);
+        self.buffered.partial.update(|sum| sum - self.partial);
     }
 }
 
 impl Queue {
     fn push(&mut self, frame: &Bytes) {
         self.queued += frame.len();
-        self.held.queued.update(|sum| sum + frame.len());
+        self.buffered.queued.update(|sum| sum + frame.len());
         match self.chunks.back_mut() {
-            _ if frame.len() >= SHARED_FROM => {
+            _ if frame.len() >= MIN_SHARED_BYTES => {
                 self.chunks.push_back(Chunk::Shared { frame: frame.clone(), topic: None });
             }
             Some(Chunk::Copied(bytes)) => bytes.extend_from_slice(frame),
@@ -113,12 +117,12 @@
         }
     }
 
-    /// Puts a frame in the place of the one of its topic that waits, or at the end.
+    /// Replaces the queued frame of the same topic, or appends the frame if there is none.
     fn replace(&mut self, topic: Topic, frame: &Bytes) {
-        let begun = usize::from(self.begun);
-        let mut queued = self.chunks.iter_mut().skip(begun);
+        let first_chunk_begun = usize::from(self.first_chunk_begun);
+        let mut queued = self.chunks.iter_mut().skip(first_chunk_begun);
         let older = queued.find(
-            |chunk| matches!(chunk, Chunk::Shared { topic: Some(held), .. } if *held == topic),
+            |chunk| matches!(chunk, Chunk::Shared { topic: Some(other), .. } if *other == topic),
         );
         let newer = Chunk::Shared { frame: frame.clone(), topic: Some(topic) };
         match older {
@@ -127,18 +131,18 @@
         }
     }
 
-    /// Takes off what was sent.
-    fn sent(&mut self, count: usize) {
+    /// Removes `count` sent bytes from the front of the queue.
+    fn remove_sent(&mut self, count: usize) {
         let Some(first) = self.chunks.front_mut() else { return };
         first.advance(count);
-        self.begun = true;
+        self.first_chunk_begun = true;
         if !matches!(first, Chunk::Shared { topic: Some(_), .. }) {
             self.queued -= count;
-            self.held.queued.update(|sum| sum - count);
+            self.buffered.queued.update(|sum| sum - count);
         }
-        if first.rest().is_empty() {
+        if first.remaining().is_empty() {
             self.chunks.pop_front();
-            self.begun = false;
+            self.first_chunk_begun = false;
         }
     }
 
@@ -154,21 +158,21 @@
     }
 }
 
-/// Frames on their way to the peer; clones share the queue.
+/// Queue of frames to one peer; clones share the queue.
 #[derive(Debug, Clone)]
 pub struct SendQueue(Rc<RefCell<Queue>>);
 
 impl SendQueue {
-    /// An empty queue; what it holds counts in `held`.
-    pub fn new(held: &Rc<BufferedBytes>) -> Self {
+    /// Creates an empty queue, whose bytes are counted in `buffered`.
+    pub fn new(buffered: &Rc<BufferedBytes>) -> Self {
         Self(Rc::new(RefCell::new(Queue {
             chunks: VecDeque::new(),
-            begun: false,
+            first_chunk_begun: false,
             queued: 0,
             partial: 0,
             closed: false,
             waker: None,
-            held: Rc::clone(held),
+            buffered: Rc::clone(buffered),
         })))
     }
 
@@ -176,19 +180,20 @@
     ///
     /// # Panics
     ///
-    /// If the message can't be encoded, which its type decides.
+    /// If the message can't be encoded, which depends on its type only.
     pub fn send<T: Serialize>(&self, message: &T) {
         self.send_encoded(&EncodedFrame::new(message));
     }
 
-    /// Queues a message that goes to several peers. A peer that has too much waiting for it already loses its connection.
+    /// Queues an encoded message. If too many bytes are already queued for the peer, its connection
+    /// is closed instead.
     pub fn send_encoded(&self, message: &EncodedFrame) {
         let mut queue = self.0.borrow_mut();
         if queue.closed {
             return;
         }
         let frame = message.frame();
-        if queue.queued > 0 && queue.queued + frame.len() > WAITING_BYTES_MOST {
+        if queue.queued > 0 && queue.queued + frame.len() > MAX_QUEUED_BYTES {
             Line::new("peer_too_slow")
                 .with("bytes", frame.len())
                 .with("waiting", queue.queued)
@@ -200,7 +205,7 @@
         queue.wake();
     }
 
-    /// Queues a message that takes the place of the one of its topic that waits.
+    /// Queues a message in place of the queued one of the same topic, if there is one.
     pub fn send_newest(&self, topic: Topic, message: &EncodedFrame) {
         let mut queue = self.0.borrow_mut();
         if !queue.closed {
@@ -209,29 +214,29 @@
         }
     }
 
-    /// Whether anything waits for the peer.
+    /// Whether any frame is queued.
     pub fn has_queued(&self) -> bool {
         !self.0.borrow().chunks.is_empty()
     }
 
-    /// Bytes that wait for the peer, without messages with a topic.
+    /// Number of bytes queued, not counting messages with a topic.
     pub fn queued_bytes(&self) -> usize {
         self.0.borrow().queued
     }
 
-    /// Takes note of how many bytes of a frame that is not whole are kept.
+    /// Sets the number of bytes received of an incomplete frame.
     pub(super) fn set_partial(&self, bytes: usize) {
         let mut queue = self.0.borrow_mut();
         let before = std::mem::replace(&mut queue.partial, bytes);
-        queue.held.partial.update(|sum| sum - before + bytes);
+        queue.buffered.partial.update(|sum| sum - before + bytes);
     }
 
-    /// Ends the connection.
+    /// Closes the queue, which ends the connection.
     pub fn close(&self) {
         self.0.borrow_mut().close();
     }
 
-    /// Writes what waits; ready once the queue is closed or the connection broken.
+    /// Writes queued frames; ready once the queue is closed or the connection has failed.
     pub(super) fn poll_write(
         &self,
         stream: &SocketStream,
@@ -246,8 +251,8 @@
                 queue.waker = Some(cx.waker().clone());
                 return Poll::Pending;
             };
-            let count = std::task::ready!(stream.poll_send(cx, first.rest()))?;
-            queue.sent(count);
+            let count = std::task::ready!(stream.poll_send(cx, first.remaining()))?;
+            queue.remove_sent(count);
         }
     }
 }
--- a/crates/vaneway-server/src/util/signals.rs
+++ b/crates/vaneway-server/src/util/signals.rs
@@ -1,8 +1,9 @@
-//! Signals of the system, handed to the event loop through a pipe.
+//! Unix signals, delivered to the event loop through a pipe.
 //!
-//! Why not the event loop's own listener: it wakes its task from within the handler, which may interrupt the very code
-//! that it calls. Under a burst of hangups that came to a process that had just started, one of forty such processes never
-//! heard any. Here the handler writes one byte and nothing else.
+//! The event loop's own listener is not used: its signal handler wakes a task, and the signal may
+//! interrupt the very code that this calls. When a burst of SIGHUP was sent to processes that had
+//! just started, one process in forty never received any of them. Here the handler writes one byte
+//! and does nothing else.
 
 use std::future::poll_fn;
 use std::io;
@@ -12,19 +13,19 @@
 use compio::runtime::fd::PollFd;
 use signal_hook::low_level::pipe;
 
-/// Bytes that are taken from the pipe at once: signals that came meanwhile count as one.
-const TAKEN_AT_ONCE: usize = 64;
+/// Size of one read from the pipe, in bytes. Signals that arrive before the read count as one.
+const READ_BYTES: usize = 64;
 
-/// A signal that is listened for as long as the process runs.
+/// A handler for one signal, installed for the lifetime of the process.
 #[derive(Debug)]
 pub struct Signal(PollFd<PipeReader>);
 
 impl Signal {
-    /// Listens for the signal with this number from now on.
+    /// Installs a handler for the signal with this number.
     ///
     /// # Errors
     ///
-    /// The operating system's, for example when descriptors run out.
+    /// If the operating system reports an error, for example that file descriptors are exhausted.
     pub fn listen(number: i32) -> io::Result<Self> {
         let (rx, tx) = io::pipe()?;
         rustix::io::ioctl_fionbio(&rx, true)?;
@@ -32,13 +33,13 @@
         Ok(Self(PollFd::new(rx)?))
     }
 
-    /// Waits until the signal has come since this was last asked.
+    /// Waits for the signal; ready at once if it has arrived since the last call.
     ///
     /// # Errors
     ///
-    /// The operating system's.
-    pub async fn came(&self) -> io::Result<()> {
-        let mut buf = [0; TAKEN_AT_ONCE];
+    /// If the operating system reports an error.
+    pub async fn recv(&self) -> io::Result<()> {
+        let mut buf = [0; READ_BYTES];
         let read = poll_fn(|cx| {
             self.0.poll_read_with(cx, |pipe| {
                 let mut pipe = pipe;
--- a/crates/vaneway-server/src/util/socket.rs
+++ b/crates/vaneway-server/src/util/socket.rs
@@ -1,9 +1,9 @@
-//! Listening and connected sockets, also in the form that hyper takes.
+//! Listening and connected TCP sockets, with an implementation of hyper's I/O traits.
 //!
-//! Why not the ready-made adaptor: it keeps buffers of its own for both directions besides
-//! hyper's, which costs memory for each of thousands of open streams and a copy of every byte.
-//! [`SocketStream`] waits for readiness and then reads and writes hyper's buffers directly. The
-//! figures before and after stand in docs/EXPERIMENTS.md.
+//! The existing adaptor for hyper is not used: it has buffers of its own for both directions in
+//! addition to hyper's, which costs memory for each of thousands of open streams and a copy of
+//! every byte. [`SocketStream`] waits for readiness and then reads into and writes from hyper's
+//! buffers directly. docs/EXPERIMENTS.md has measurements of both.
 
 use std::future::poll_fn;
 use std::io;
@@ -30,14 +30,14 @@
 #[derive(Debug)]
 pub struct SocketStream {
     fd: PollFd<Socket>,
-    /// The last read found nothing, so the next one waits for readiness before it asks the
-    /// kernel: hyper polls for reads each time it writes.
+    /// Whether the last read found no data. The next one then waits for readiness before it makes a
+    /// system call, since hyper polls for reads each time it writes.
     drained: bool,
-    /// Told whenever bytes arrive.
+    /// Notified whenever bytes are received for hyper.
     activity: Option<Rc<Activity>>,
 }
 
-/// Connections that wait to be accepted at most.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
 
 /// Pause after a failed accept.
@@ -45,8 +45,8 @@
 
 /// A listening socket.
 ///
-/// The event loop's own would create and close sockets on helper threads, where one thread is to
-/// do everything; neither call can block.
+/// The event loop's own listener creates and closes sockets on helper threads. The process is meant
+/// to run on one thread, and neither call can block, so this type makes them directly.
 #[derive(Debug)]
 pub struct SocketListener(PollFd<Socket>);
 
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// The operating system's, for example when the address is in use.
+    /// If the operating system reports an error, for example that the address is in use.
     pub fn bind(addr: SocketAddr) -> io::Result<Self> {
         let socket = new_socket(addr)?;
         socket.set_reuse_address(true)?;
@@ -64,11 +64,11 @@
         Self::from_std(socket.into())
     }
 
-    /// Takes over a socket that listens already.
+    /// Wraps a socket that is already listening.
     ///
     /// # Errors
     ///
-    /// The operating system's.
+    /// If the operating system reports an error.
     pub fn from_std(listener: std::net::TcpListener) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
         Ok(Self(PollFd::new(listener.into())?))
@@ -78,14 +78,14 @@
     ///
     /// # Errors
     ///
-    /// The operating system's.
+    /// If the operating system reports an error.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         let addr = self.0.local_addr()?;
         addr.as_socket().ok_or_else(|| io::Error::from(io::ErrorKind::AddrNotAvailable))
     }
 
-    /// Waits for the next connection. After a failure, which mostly means that descriptors ran
-    /// out, it tries again a little later.
+    /// Waits for the next connection. After an error, which mostly means that file descriptors are
+    /// exhausted, it retries after `ACCEPT_PAUSE`.
     pub async fn accept_next(&self, timers: &Timers) -> SocketStream {
         loop {
             match self.accept().await {
@@ -102,7 +102,7 @@
     ///
     /// # Errors
     ///
-    /// The operating system's, for example when descriptors run out.
+    /// If the operating system reports an error, for example that file descriptors are exhausted.
     pub async fn accept(&self) -> io::Result<SocketStream> {
         let accepted = poll_fn(|cx| self.0.poll_accept_with(cx, Socket::accept));
         let (socket, _peer) = accepted.await?;
@@ -120,7 +120,7 @@
 ///
 /// # Errors
 ///
-/// The operating system's, for example when nothing listens there.
+/// If the operating system reports an error, for example that the connection was refused.
 pub async fn connect(addr: SocketAddr) -> io::Result<SocketStream> {
     let stream = SocketStream::new(new_socket(addr)?)?;
     match stream.fd.connect(&addr.into()) {
@@ -132,28 +132,28 @@
     }
 }
 
-/// Connects to `addr`, or gives up after `within`.
+/// Connects to `addr` within `timeout`.
 ///
 /// # Errors
 ///
-/// The operating system's; `TimedOut` if it took too long.
+/// If the operating system reports an error; `TimedOut` if the timeout expires.
 pub async fn connect_timeout(
     timers: &Timers,
     addr: SocketAddr,
-    within: Duration,
+    timeout: Duration,
 ) -> io::Result<SocketStream> {
-    let connected = timers.timeout_at(clock::now() + within, connect(addr)).await;
+    let connected = timers.timeout_at(clock::now() + timeout, connect(addr)).await;
     connected
-        .unwrap_or_else(|| Err(io::Error::new(io::ErrorKind::TimedOut, "connecting took too long")))
+        .unwrap_or_else(|| Err(io::Error::new(io::ErrorKind::TimedOut, "connection timed out")))
 }
 
 impl SocketStream {
-    /// Prepares a socket. Chunks are small and must leave at once, so
-    /// Nagle's algorithm is off.
+    /// Configures a connected socket. Nagle's algorithm is disabled, since chunks are small and
+    /// must be sent without delay.
     ///
     /// # Errors
     ///
-    /// The operating system's, for example when the peer is gone already.
+    /// If the operating system reports an error, for example that the peer has disconnected.
     fn new(socket: Socket) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
@@ -162,12 +162,12 @@
 }
 
 impl SocketStream {
-    /// Tells `activity` whenever bytes arrive for hyper.
+    /// Notifies `activity` whenever bytes are received for hyper.
     pub fn watch(&mut self, activity: Rc<Activity>) {
         self.activity = Some(activity);
     }
 
-    /// Reads some bytes; 0 at the end.
+    /// Reads some bytes; 0 at the end of the stream.
     pub fn poll_recv(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         self.fd.poll_read_with(cx, |socket| {
             let mut socket = socket;
@@ -185,25 +185,26 @@
         self.fd.poll_write_with(cx, |socket| socket.send(buf))
     }
 
-    /// Lets the connection be reset when it is closed: bytes that have not arrived are lost.
+    /// Makes the connection be reset when it is closed: bytes that have not been delivered are
+    /// lost.
     ///
     /// # Errors
     ///
-    /// The operating system's.
+    /// If the operating system reports an error.
     pub fn reset_on_close(&self) -> io::Result<()> {
         self.fd.set_linger(Some(Duration::ZERO))
     }
 
-    /// Lets the connection fail once the peer's box has been silent for about `within`, also
-    /// while nothing is being sent. Without it, a connection to a box that lost its power or its
-    /// network hangs for minutes.
+    /// Makes the connection fail if the peer's operating system has not replied for about
+    /// `timeout`, even while nothing is being sent. Without it, a connection to a box that lost
+    /// power or its network hangs for minutes.
     ///
     /// # Errors
     ///
-    /// The operating system's.
-    pub fn set_peer_timeout(&self, within: Duration) -> io::Result<()> {
-        self.fd.set_tcp_user_timeout(Some(within))?;
-        let probes = TcpKeepalive::new().with_time(within).with_interval(Duration::from_secs(1));
+    /// If the operating system reports an error.
+    pub fn set_peer_timeout(&self, timeout: Duration) -> io::Result<()> {
+        self.fd.set_tcp_user_timeout(Some(timeout))?;
+        let probes = TcpKeepalive::new().with_time(timeout).with_interval(Duration::from_secs(1));
         self.fd.set_tcp_keepalive(&probes)
     }
 }
--- a/crates/vaneway-server/src/util/task.rs
+++ b/crates/vaneway-server/src/util/task.rs
@@ -1,8 +1,8 @@
-//! Tasks that end with their owner.
+//! Tasks that are cancelled when their owner is dropped.
 
 use futures_channel::oneshot;
 
-/// Starts `work`, which ends when what is returned is dropped.
+/// Spawns a task that runs `work` and is cancelled when the returned handle is dropped.
 pub fn spawn_until_dropped(work: impl Future<Output = ()> + 'static) -> oneshot::Sender<()> {
     let (tx, rx) = oneshot::channel::<()>();
     compio::runtime::spawn(async move {
--- a/crates/vaneway-server/src/util/timers.rs
+++ b/crates/vaneway-server/src/util/timers.rs
@@ -1,8 +1,8 @@
-//! The timer service of a process: one task that sleeps for everyone.
+//! The timer service of a process: one task that sleeps on behalf of all others.
 //!
-//! Why: thousands of requests each have a deadline that almost never comes. Parts subscribe to
-//! one queue ([`vaneway_timer::TimerQueue`]), which costs an entry in a map, and a single task
-//! sleeps until the earliest deadline and wakes whoever is due.
+//! Thousands of requests each have a deadline that almost never expires. All tasks subscribe to one
+//! queue ([`vaneway_timer::TimerQueue`]), which costs an entry in a map, and a single task sleeps
+//! until the earliest deadline and wakes the tasks whose deadlines have passed.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -20,14 +20,15 @@
 
 use crate::util::clock;
 
-/// Longest sleep without a look at the clock: the loop's own timer does not count time in which the box is suspended.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// Maximum time between two checks of the clock while sleeping: the event loop's own timer does not
+/// count the time during which the box is suspended.
+const CLOCK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Default)]
 struct Shared {
     queue: RefCell<TimerQueue<Waker>>,
-    /// The deadline that the service's task sleeps for.
-    asleep_until: Cell<Option<Instant>>,
+    /// The deadline until which the service's task sleeps.
+    sleeping_until: Cell<Option<Instant>>,
     task: RefCell<Option<Waker>>,
 }
 
@@ -36,7 +37,7 @@
 pub struct Timers(Rc<Shared>);
 
 impl Timers {
-    /// Starts the service's task on the current loop.
+    /// Spawns the service's task on the current event loop.
     pub fn spawn() -> Self {
         let shared = Rc::new(Shared::default());
         let weak = Rc::downgrade(&shared);
@@ -49,17 +50,17 @@
         Self(shared)
     }
 
-    /// A future that is ready at `at`.
+    /// Returns a future that is ready at `at`.
     pub fn sleep_until(&self, at: Instant) -> Sleep {
         Sleep { timers: self.clone(), at, id: None }
     }
 
-    /// A future that is ready after `pause`.
-    pub fn sleep(&self, pause: Duration) -> Sleep {
-        self.sleep_until(clock::now() + pause)
+    /// Returns a future that is ready after `duration`.
+    pub fn sleep(&self, duration: Duration) -> Sleep {
+        self.sleep_until(clock::now() + duration)
     }
 
-    /// Runs `work` until `at`; none if it was not done by then.
+    /// Runs `work` until `at`; returns `None` if it has not completed by then.
     pub async fn timeout_at<T>(&self, at: Instant, work: impl Future<Output = T>) -> Option<T> {
         let work = work.fuse();
         let sleep = self.sleep_until(at).fuse();
@@ -70,13 +71,14 @@
         }
     }
 
-    /// How many parts wait.
+    /// Number of pending subscriptions.
     pub fn pending(&self) -> usize {
         self.0.queue.borrow().len()
     }
 }
 
-/// Wakes whoever is due, then sleeps until the next deadline or until an earlier one is set.
+/// Wakes the tasks whose deadlines have passed, then sleeps until the next deadline or until an
+/// earlier one is set.
 async fn run_once(shared: Rc<Shared>) {
     let now = clock::now();
     loop {
@@ -87,9 +89,9 @@
         }
     }
     let next = shared.queue.borrow().next_deadline();
-    shared.asleep_until.set(next);
+    shared.sleeping_until.set(next);
     let earlier = std::future::poll_fn(|cx| {
-        if shared.asleep_until.get() == next {
+        if shared.sleeping_until.get() == next {
             *shared.task.borrow_mut() = Some(cx.waker().clone());
             Poll::Pending
         } else {
@@ -99,7 +101,7 @@
     match next {
         Some(at) => {
             let left = at.saturating_duration_since(clock::now());
-            let sleep = compio::time::sleep(left.min(LOOK_EVERY)).fuse();
+            let sleep = compio::time::sleep(left.min(CLOCK_CHECK_INTERVAL)).fuse();
             let earlier = earlier.fuse();
             futures_util::pin_mut!(sleep, earlier);
             futures_util::select_biased! {
@@ -120,12 +122,12 @@
 }
 
 impl Sleep {
-    /// When it is ready.
+    /// The time at which the future is ready.
     pub fn deadline(&self) -> Instant {
         self.at
     }
 
-    /// Sets another deadline.
+    /// Changes the deadline.
     pub fn reset(&mut self, at: Instant) {
         if at != self.at {
             self.unsubscribe();
@@ -147,9 +149,9 @@
             return;
         }
         self.id = Some(queue.subscribe(self.at, waker.clone()));
-        let asleep_until = shared.asleep_until.get();
-        if asleep_until.is_none_or(|until| self.at < until) {
-            shared.asleep_until.set(Some(self.at));
+        let sleeping_until = shared.sleeping_until.get();
+        if sleeping_until.is_none_or(|until| self.at < until) {
+            shared.sleeping_until.set(Some(self.at));
             if let Some(task) = shared.task.borrow_mut().take() {
                 task.wake();
             }
--- a/crates/vaneway-server/src/util/turns.rs
+++ b/crates/vaneway-server/src/util/turns.rs
@@ -1,10 +1,11 @@
-//! Turns for work that can wait, so that other work never waits for more than one turn.
+//! Cooperative scheduling of deferrable work, so that urgent tasks wait for at most one turn of it.
 //!
-//! Why: on one loop whatever is ready runs in the order in which it became ready. Hundreds of connections
-//! that bring something at once are then a line in which a heartbeat of the agreement stands at the end, for
-//! seconds at a box with little processor time, while a leader must be heard within half of one. So work of
-//! which there can be much asks for a turn before each small piece. One turn is given at a time, in the
-//! order of asking, and the next only after the loop has run what else became ready meanwhile.
+//! An event loop runs tasks in the order in which they became ready. If hundreds of connections
+//! receive data at once, a Raft heartbeat queues behind all of them: for seconds on a box with
+//! little processor time, while followers must receive a leader's heartbeat within half a second.
+//! Work that can arise in large amounts therefore waits for a turn before each small unit. Turns
+//! are granted one at a time, in the order of the requests, and the next one only after the event
+//! loop has run every other task that became ready in the meantime.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -23,9 +24,9 @@
 #[derive(Debug, Default)]
 struct Queue {
     waiting: VecDeque<Waiting>,
-    /// Longest wait of a turn that was given since it was last asked for.
-    longest: Duration,
-    /// Wakes the task that gives turns, while nobody waits for one.
+    /// Longest wait for a turn that was granted since this was last read.
+    longest_wait: Duration,
+    /// Wakes the task that grants turns; set while no task waits for a turn.
     idle: Option<Waker>,
 }
 
@@ -35,19 +36,19 @@
     since: Instant,
 }
 
-/// Gives turns on the current loop; clones share it.
+/// Scheduler of turns on the current event loop; clones share it.
 #[derive(Debug, Clone)]
 pub struct Turns(Rc<RefCell<Queue>>);
 
 impl Turns {
-    /// Starts to give turns on the current loop, until all clones are dropped.
+    /// Spawns the task that grants turns on the current event loop until all clones are dropped.
     pub fn spawn() -> Self {
         let queue = Rc::new(RefCell::default());
-        compio::runtime::spawn(give(Rc::downgrade(&queue))).detach();
+        compio::runtime::spawn(grant_turns(Rc::downgrade(&queue))).detach();
         Self(queue)
     }
 
-    /// Waits for a turn, which lasts until the caller waits for anything.
+    /// Waits for a turn, which lasts until the caller next awaits a pending future.
     pub async fn next(&self) {
         let (tx, rx) = oneshot::channel();
         let idle = {
@@ -58,24 +59,25 @@
         if let Some(waker) = idle {
             waker.wake();
         }
-        // An error means that the loop is ending.
-        let _given = rx.await;
+        // An error means that the event loop is shutting down.
+        let _granted = rx.await;
     }
 
-    /// How many wait for a turn.
+    /// Number of tasks that wait for a turn.
     pub fn waiting(&self) -> usize {
         self.0.borrow().waiting.len()
     }
 
-    /// Longest wait of a turn that was given since this was last asked.
+    /// Returns the longest wait for a turn that was granted since the last call.
     pub fn take_longest_wait(&self) -> Duration {
-        std::mem::take(&mut self.0.borrow_mut().longest)
+        std::mem::take(&mut self.0.borrow_mut().longest_wait)
     }
 }
 
 impl Drop for Turns {
     fn drop(&mut self) {
-        // The task that gives turns holds none itself; it must see that the last owner is gone.
+        // The task that grants turns holds only a weak reference. When the last owner is dropped,
+        // it must be woken to notice that.
         if Rc::strong_count(&self.0) == 1
             && let Some(waker) = self.0.borrow_mut().idle.take()
         {
@@ -84,14 +86,14 @@
     }
 }
 
-async fn give(queue: Weak<RefCell<Queue>>) {
+async fn grant_turns(queue: Weak<RefCell<Queue>>) {
     while wait_for_demand(&queue).await {
-        give_one(&queue);
-        run_others().await;
+        grant_next(&queue);
+        yield_once().await;
     }
 }
 
-/// Waits until somebody wants a turn; false if nobody can any more.
+/// Waits until a task waits for a turn; returns false once all owners have been dropped.
 async fn wait_for_demand(queue: &Weak<RefCell<Queue>>) -> bool {
     poll_fn(|cx| {
         let Some(queue) = queue.upgrade() else { return Poll::Ready(false) };
@@ -105,23 +107,23 @@
     .await
 }
 
-/// Gives a turn to the first who still wants one.
-fn give_one(queue: &Weak<RefCell<Queue>>) {
+/// Grants a turn to the first task that still waits for one.
+fn grant_next(queue: &Weak<RefCell<Queue>>) {
     let Some(queue) = queue.upgrade() else { return };
     let mut queue = queue.borrow_mut();
     while let Some(Waiting { tx, since }) = queue.waiting.pop_front() {
         if tx.send(()).is_ok() {
-            queue.longest = queue.longest.max(clock::elapsed(since));
+            queue.longest_wait = queue.longest_wait.max(clock::elapsed(since));
             return;
         }
     }
 }
 
-/// Lets every task run that is ready now.
-async fn run_others() {
-    let mut ran = false;
+/// Yields once, so that every task that is ready now runs first.
+async fn yield_once() {
+    let mut yielded = false;
     poll_fn(|cx| {
-        if std::mem::replace(&mut ran, true) {
+        if std::mem::replace(&mut yielded, true) {
             return Poll::Ready(());
         }
         cx.waker().wake_by_ref();
--- a/src/bin/vanectl/commands/apply.rs
+++ b/src/bin/vanectl/commands/apply.rs
@@ -11,7 +11,7 @@
 pub async fn exec(args: Args) -> eyre::Result<String> {
     let (target, _json, file) = args.at_most_one()?;
     if file.is_empty() {
-        return Err(UsageError("name a file with a configuration".to_owned()).into());
+        return Err(UsageError("missing configuration file".to_owned()).into());
     }
     ops::configuration::apply(&target, Path::new(&file)).await
 }
--- a/src/bin/vanectl/commands/mod.rs
+++ b/src/bin/vanectl/commands/mod.rs
@@ -24,29 +24,29 @@
 
 Commands:
   services              List the services
-  replicas [SERVICE]    List the replicas as the settings name them
-  endpoints [SERVICE]   List the endpoints as the process sees them
-  status                Say how the process is
-  dump                  Show the whole state of the process as JSON
-  quarantine            List the requests under which endpoints ended
-  release FINGERPRINT   Let such a request run again
-  apply FILE            Put a configuration in force (address of a control box)
+  replicas [SERVICE]    List the replicas in the settings of the process
+  endpoints [SERVICE]   List the endpoints in the state that the process knows
+  status                Show the status of the process
+  dump                  Show the complete state of the process as JSON
+  quarantine            List the requests that crashed endpoints
+  release FINGERPRINT   Release such a request from quarantine
+  apply FILE            Apply a configuration (address of a control box)
   config                Show the newest configuration (address of a control box)
 
 Options:
       --address ADDR  The operators' address of a process [default: 127.0.0.1:8081]
-      --token TOKEN   The operator's token, also taken from VANECTL_TOKEN
+      --token TOKEN   The operator's token [env: VANECTL_TOKEN]
       --json          Print JSON for scripts
   -h, --help          Print help
   -V, --version       Print the version
 
-Exit codes: 0 done, 1 failed, 2 wrong command line.
+Exit codes: 0 success, 1 failure, 2 invalid command line.
 ";
 
-/// Environment variable that holds the operator's token, so that it need not stand in a history.
+/// Environment variable with the operator's token, so that it need not appear in a shell history.
 const TOKEN_VARIABLE: &str = "VANECTL_TOKEN";
 
-/// What every subcommand gets.
+/// The arguments of a subcommand.
 struct Args {
     target: Target,
     json: bool,
@@ -54,7 +54,7 @@
 }
 
 impl Args {
-    /// Reads the rest of the command line.
+    /// Parses the command line into a subcommand and its arguments; `None` if help is requested.
     fn read(mut parser: Parser) -> Result<Option<(String, Self)>, UsageError> {
         let mut address = "127.0.0.1:8081".to_owned();
         let mut token = std::env::var(TOKEN_VARIABLE).ok();
@@ -71,16 +71,16 @@
                 arg => return Err(arg.unexpected().into()),
             }
         }
-        let wrong = |error| UsageError(format!("`--address {address}`: {error}"));
-        let address = address.parse().map_err(wrong)?;
+        let invalid = |error| UsageError(format!("`--address {address}`: {error}"));
+        let address = address.parse().map_err(invalid)?;
         if values.is_empty() {
-            return Err(UsageError("name a command".to_owned()));
+            return Err(UsageError("missing command".to_owned()));
         }
         let command = values.remove(0);
         Ok(Some((command, Self { target: Target { address, token }, json, values })))
     }
 
-    /// The one value that may follow the command.
+    /// Returns the one value that may follow the command; empty if there is none.
     fn at_most_one(self) -> Result<(Target, bool, String), UsageError> {
         match self.values.len() {
             0 | 1 => {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Nothing may follow the command.
+    /// Checks that no value follows the command.
     fn none(self) -> Result<(Target, bool), UsageError> {
         match self.values.first() {
             None => Ok((self.target, self.json)),
@@ -99,7 +99,7 @@
     }
 }
 
-/// Reads the command line and runs the subcommand.
+/// Parses the command line and runs the subcommand.
 pub fn exec(parser: Parser) -> eyre::Result<String> {
     let Some((command, args)) = Args::read(parser)? else { return Ok(HELP.to_owned()) };
     if command == "version" {
--- a/src/bin/vanectl/main.rs
+++ b/src/bin/vanectl/main.rs
@@ -8,7 +8,7 @@
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
 fn main() -> ExitCode {
-    vaneway_server::util::command_line::conclude(
+    vaneway_server::util::command_line::report_result(
         "vanectl",
         commands::exec(lexopt::Parser::from_env()),
     )
--- a/src/bin/vaneway/commands/check.rs
+++ b/src/bin/vaneway/commands/check.rs
@@ -3,7 +3,7 @@
 use lexopt::Parser;
 use vaneway_server::ops;
 
-/// Checks a settings file.
+/// Validates a settings file.
 pub fn exec(mut args: Parser) -> eyre::Result<String> {
     let file = super::only_file(&mut args)?;
     Ok(ops::check::check(&file)? + "\n")
--- a/src/bin/vaneway/commands/mod.rs
+++ b/src/bin/vaneway/commands/mod.rs
@@ -15,21 +15,21 @@
 
 Commands:
   run FILE     Run an entry or control box with the settings in FILE
-  check FILE   Check the settings in FILE and report every finding
+  check FILE   Validate the settings in FILE and report every finding
 
 Options of run:
-  --adapter NAME  Speak a platform's protocols in place of the own ones: `platform`
+  --adapter NAME  Use a platform's protocols instead of the native ones: `platform`
 
 Options:
   -h, --help     Print help
   -V, --version  Print the version
 
-Exit codes: 0 done, 1 failed, 2 wrong command line.
-SIGTERM stops as planned, SIGHUP writes the whole state to the log.
+Exit codes: 0 success, 1 failure, 2 invalid command line.
+SIGTERM starts a planned stop, SIGHUP writes the complete state to the log.
 The environment variable VANEWAY_LOG sets the log level, for example `debug`.
 ";
 
-/// Reads the command line and runs the subcommand.
+/// Parses the command line and runs the subcommand.
 pub fn exec(mut args: Parser) -> eyre::Result<String> {
     match args.next().map_err(UsageError::from)? {
         Some(Arg::Short('h') | Arg::Long("help")) => Ok(HELP.to_owned()),
@@ -42,11 +42,11 @@
             other => Err(UsageError(format!("no such command: `{other}`")).into()),
         },
         Some(arg) => Err(UsageError::from(arg.unexpected()).into()),
-        None => Err(UsageError("name a command".to_owned()).into()),
+        None => Err(UsageError("missing command".to_owned()).into()),
     }
 }
 
-/// Reads the one file that a subcommand takes.
+/// Parses the one file argument of a subcommand.
 fn only_file(args: &mut Parser) -> Result<std::path::PathBuf, UsageError> {
     let mut file = None;
     while let Some(arg) = args.next()? {
@@ -55,5 +55,5 @@
             arg => return Err(arg.unexpected().into()),
         }
     }
-    file.ok_or_else(|| UsageError("name a settings file".to_owned()))
+    file.ok_or_else(|| UsageError("missing settings file".to_owned()))
 }
--- a/src/bin/vaneway/commands/run.rs
+++ b/src/bin/vaneway/commands/run.rs
@@ -8,7 +8,7 @@
 use vaneway_server::ops::run::NativeProtocols;
 use vaneway_server::util::command_line::UsageError;
 
-/// Runs an entry or control box until it is told to stop.
+/// Runs an entry or control box until it is signalled to stop.
 pub fn exec(mut args: Parser) -> eyre::Result<String> {
     let mut file = None;
     let mut adapter = None;
@@ -22,7 +22,7 @@
             arg => return Err(UsageError::from(arg.unexpected()).into()),
         }
     }
-    let file = file.ok_or_else(|| UsageError("name a settings file".to_owned()))?;
+    let file = file.ok_or_else(|| UsageError("missing settings file".to_owned()))?;
     match adapter.as_deref() {
         None => ops::run::run(&file, &NativeProtocols)?,
         Some("platform") => ops::run::run(&file, &Platform)?,
--- a/src/bin/vaneway/main.rs
+++ b/src/bin/vaneway/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: an entry between callers and endpoints.
+//! The daemon of an entry or control box.
 
 mod commands;
 
@@ -9,7 +9,7 @@
 
 fn main() -> ExitCode {
     vaneway_server::util::logline::init();
-    vaneway_server::util::command_line::conclude(
+    vaneway_server::util::command_line::report_result(
         "vaneway",
         commands::exec(lexopt::Parser::from_env()),
     )
