--- a/crates/vaneway-server/src/core/calls/claims.rs
+++ b/crates/vaneway-server/src/core/calls/claims.rs
@@ -33,9 +33,9 @@
 use vaneway_claims::Command;
 use vaneway_claims::Digest;
 use vaneway_claims::Holder;
-use vaneway_claims::KeptAnswer;
 use vaneway_claims::Ledger;
 use vaneway_claims::Reply;
+use vaneway_claims::StoredResponse;
 
 use crate::core::settings::ClaimSettings;
 use crate::util::clock;
@@ -355,7 +355,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimEnd {
     /// It ran, and this was its answer.
-    Answered(KeptAnswer),
+    Answered(StoredResponse),
     /// Nobody knows whether it ran.
     Unknown,
     /// It was certainly not run.
--- a/crates/vaneway-server/src/core/calls/keyed_call.rs
+++ b/crates/vaneway-server/src/core/calls/keyed_call.rs
@@ -22,8 +22,8 @@
 use sha2::Sha256;
 use vaneway_claims::ClaimKey;
 use vaneway_claims::Digest;
-use vaneway_claims::KeptAnswer;
 use vaneway_claims::Reply;
+use vaneway_claims::StoredResponse;
 use vaneway_relay::RunState;
 
 use crate::core::callers::api_error::ApiError;
@@ -121,7 +121,7 @@
     let kind = head.headers.get(CONTENT_TYPE).and_then(|kind| kind.to_str().ok());
     let content_type = kind.map(str::to_owned);
     let status = head.status.as_u16();
-    let answered = |body| ClaimEnd::Answered(KeptAnswer { status, content_type, body });
+    let answered = |body| ClaimEnd::Answered(StoredResponse { status, content_type, body });
     match body {
         ResponseBody::Full(full) => {
             let body = full.collect().await.map(http_body_util::Collected::to_bytes);
@@ -192,7 +192,7 @@
 }
 
 /// The answer that a repeat gets.
-fn replay(answer: KeptAnswer) -> Response<ResponseBody> {
+fn replay(answer: StoredResponse) -> Response<ResponseBody> {
     let Some(body) = answer.body else {
         let message = "the call ran; its answer was too long to be kept";
         let mut error = ApiError::rejected(StatusCode::CONFLICT, "answer_not_kept", message);
