--- a/crates/vaneway-quarantine/src/incarnation.rs
+++ b/crates/vaneway-quarantine/src/incarnation.rs
@@ -1,22 +1,23 @@
-//! One life of an endpoint: its name, and when it was born if that is known.
+//! One incarnation of an endpoint: its name, and its start time if that is known.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Stands between name and birth; no name on the wire holds a control character.
+/// Separates name and start time; no name on the wire contains a control character.
 const SEPARATOR: char = '\u{1f}';
 
-/// One life of an endpoint, which may start again under its name.
+/// One incarnation of an endpoint, which may restart under the same name.
 ///
-/// On the wire it is one string, the name alone where the birth isn't known, so that boxes that know endpoints by
-/// name only can read it.
+/// On the wire it is one string, and the name alone if the start time isn't known, so that boxes
+/// that know endpoints by name only can read it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation(String);
 
 impl Incarnation {
-    /// The life of the endpoint `name` that began at `born`, a Unix millisecond; 0 if that isn't known.
+    /// The incarnation of the endpoint `name` that started at `born`, in milliseconds since the
+    /// Unix epoch; 0 if that isn't known.
     pub fn new(name: &str, born: u64) -> Self {
         if born == 0 {
             return Self(name.to_owned());
@@ -29,14 +30,14 @@
         self.0.split_once(SEPARATOR).map_or(&self.0, |(name, _)| name)
     }
 
-    /// The Unix millisecond in which it was born; 0 if that isn't known.
+    /// When it started, in milliseconds since the Unix epoch; 0 if that isn't known.
     pub fn born(&self) -> u64 {
         let born = self.0.split_once(SEPARATOR).and_then(|(_, born)| born.parse().ok());
         born.unwrap_or_default()
     }
 }
 
-/// For logs and operators: `NAME`, or `NAME@BORN` where the birth is known.
+/// For logs and operators: `NAME`, or `NAME@BORN` if the start time is known.
 impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.born() {
--- a/crates/vaneway-quarantine/src/lib.rs
+++ b/crates/vaneway-quarantine/src/lib.rs
@@ -1,27 +1,31 @@
-//! Requests under which endpoints end: suspected, condemned and cleared over all boxes, without I/O.
+//! Finds the requests that crash the endpoints running them, across all boxes, without I/O.
 //!
-//! Why: a request can make whatever runs it crash. Its box sends it to another endpoint, its caller sends it to
-//! another box, and each time an endpoint is lost with all that runs there. Nobody who sees one crash can tell
-//! which of the requests that ran there is to blame.
+//! A request can crash whatever runs it. Its box then retries it on another endpoint and its caller
+//! sends it again through another box, and each attempt costs an endpoint together with everything
+//! that runs there. A single crash doesn't show which of the requests on that endpoint caused it.
 //!
-//! Data flow: a box tells its [`Quarantine`] under which of its requests an endpoint ended
-//! ([`Quarantine::record_crash`]) and which are answered whole ([`Quarantine::clear`]). What others have to know
-//! comes out as [`QuarantineRecord`]s ([`Quarantine::take_updates`]), and what they found goes in by [`Quarantine::merge`].
+//! Data flow: a box reports to its [`Quarantine`] which of its requests was running when an
+//! endpoint crashed ([`Quarantine::record_crash`]) and which requests received a complete response
+//! ([`Quarantine::clear`]). [`Quarantine::take_updates`] returns the [`QuarantineRecord`]s to send to
+//! other boxes, and [`Quarantine::merge`] applies the records of other boxes.
 //!
-//! The evidence against a request is the set of endpoints that ended under it; one that starts again under its name and ends
-//! again counts again. An end counts unless
+//! The evidence against a request is the set of endpoint incarnations that crashed while running
+//! it: an endpoint that restarts under the same name and crashes again counts again. A crash is
+//! counted unless
 //!
-//! - events of its answer had come from there: its prompt was read without harm;
-//! - it has a common cause with others: several endpoints that end at the same moment.
+//! - the endpoint had already sent events of the response, so processing the prompt did no harm;
+//! - it has a common cause with others: several endpoints that exit at the same moment.
 //!
-//! The second end that counts condemns, and the third of any kind: so three endpoints are the most that a caller's
-//! request can end over all its tries at boxes that hear of each other. Copies that other callers send at the same time may
-//! end more before their boxes hear of it. An innocent request is condemned only if its prompt was being read at
-//! two unrelated crashes. A request that is answered whole and with success is cleared.
+//! The second counted crash condemns the request, and so does the third crash of any kind. A
+//! request of one caller can therefore crash at most three endpoints, over all attempts through
+//! boxes that receive each other's records. Copies that other callers send at the same time may
+//! crash more before their boxes receive the records. An innocent request is condemned only if its
+//! prompt was being processed during two unrelated crashes. A request that receives a complete
+//! and successful response is cleared.
 //!
-//! Findings are merged by the cluster's time, so they may be lost, repeated and reordered: the worst verdict counts
-//! until a later clearance. What is merged is told on, so a finding is news once at a box: one that would be forgotten at
-//! once is not learned.
+//! Records are merged by cluster time, so they may be lost, repeated or reordered: the worst
+//! verdict holds until a later clearance. Every record that changes something is forwarded, so a
+//! box must treat each record as new only once; a record that would expire at once is not merged.
 
 mod incarnation;
 
@@ -33,47 +37,51 @@
 
 pub use crate::incarnation::Incarnation;
 
-/// Names a request by its content, so that it is known again when its caller sends it once more.
+/// Identifies a request by its content, so that it is recognised when its caller sends it again.
 pub type Fingerprint = u64;
 
-/// Time since 1970 by the cluster's clock.
+/// Time since the Unix epoch by the cluster's clock.
 pub type Time = Duration;
 
-/// Ends that count after which a request is condemned: with one, most of those beside it would be.
-const ENDS_THAT_COUNT: usize = 2;
+/// Counted crashes that condemn a request. With one, most requests that run beside the one to blame
+/// would be condemned too.
+const COUNTED_CRASHES_TO_CONDEMN: usize = 2;
 
-/// Ends of any kind after which a request is condemned: what operators allow one request.
-const ENDS_MOST: usize = 3;
+/// Crashes of any kind that condemn a request: the number that operators accept for one request.
+const CRASHES_TO_CONDEMN: usize = 3;
 
-/// Endpoints that end at the same moment from which on they have a common cause. Where ten a second end, each for
-/// its own cause, an end falls together with three others in one of seventy cases, and with two in one of eleven.
-const COMMON_LEAST: usize = 4;
+/// Number of endpoints exiting at the same moment from which on a common cause is assumed. Where
+/// ten endpoints per second exit independently, one exit in 70 coincides with three others, and one
+/// in 11 with two others.
+const MIN_COMMON_CAUSE_EXITS: usize = 4;
 
-/// How far apart ends of a common cause are seen: the time in which a box with a tenth of a core takes its turn.
-const COMMON_WITHIN: Duration = Duration::from_millis(25);
+/// Longest time between the observed exits of endpoints with a common cause: the time in which a
+/// box with a tenth of a CPU core gets its scheduling turn.
+const COMMON_CAUSE_WINDOW: Duration = Duration::from_millis(25);
 
-/// How long a suspicion, a clearance and the end of an endpoint count: callers come again within their deadlines, some
-/// tens of seconds.
-const SUSPICION_KEPT: Duration = Duration::from_mins(1);
+/// How long a suspicion, a clearance and the exit of an endpoint stay valid: callers retry within
+/// their deadlines, some tens of seconds.
+const SUSPICION_RETENTION: Duration = Duration::from_mins(1);
 
-/// How long a condemnation counts. A caller that goes on sending such a request ends two more endpoints each time that
-/// it is forgotten; an operator can release it before.
-const CONDEMNATION_KEPT: Duration = Duration::from_mins(10);
+/// How long a condemnation stays valid. A caller that keeps sending such a request crashes two more
+/// endpoints each time the condemnation expires. An operator can release the request earlier.
+const CONDEMNATION_RETENTION: Duration = Duration::from_mins(10);
 
-/// Cases that are kept at most; the oldest give way. A crash of a third of a large fleet makes some thousand.
-const CASES_MOST: usize = 4_096;
+/// Maximum number of cases; the oldest are evicted. A crash of a third of a large fleet creates
+/// about a thousand.
+const MAX_CASES: usize = 4_096;
 
-/// How far a request was when its endpoint ended.
+/// How far a request had progressed when its endpoint crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Progress {
-    /// Nothing of its answer had come.
+    /// No part of the response had arrived: the prompt was being processed.
     Reading,
-    /// Part of its answer had come.
+    /// Part of the response had arrived.
     Answering,
 }
 
 impl Progress {
-    /// The progress's name for logs.
+    /// The name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Reading => "reading",
@@ -82,19 +90,19 @@
     }
 }
 
-/// What is held of a request.
+/// Conclusion about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It was answered whole and with success, or an operator released it.
+    /// It received a complete and successful response, or an operator released it.
     Cleared,
-    /// An endpoint ended under it.
+    /// An endpoint crashed while running it.
     Suspected,
-    /// It ends endpoints, and may not run again.
+    /// It crashes endpoints and must not run again.
     Condemned,
 }
 
 impl Verdict {
-    /// The verdict's name for logs.
+    /// The name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Cleared => "cleared",
@@ -103,94 +111,95 @@
         }
     }
 
-    /// How long it counts.
-    fn kept(self) -> Duration {
+    /// How long the verdict stays valid.
+    fn retention(self) -> Duration {
         match self {
-            Self::Cleared | Self::Suspected => SUSPICION_KEPT,
-            Self::Condemned => CONDEMNATION_KEPT,
+            Self::Cleared | Self::Suspected => SUSPICION_RETENTION,
+            Self::Condemned => CONDEMNATION_RETENTION,
         }
     }
 }
 
-/// What is known of a request.
+/// The evidence against one request, and the verdict.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Case {
-    /// Endpoints that ended under it, and how far it was there.
+    /// Endpoints that crashed while running it, with its progress at each.
     pub ends: BTreeMap<Incarnation, Progress>,
-    /// What follows from that.
+    /// The conclusion from the evidence.
     pub verdict: Verdict,
     /// When the verdict was last changed or confirmed.
     pub at: Time,
 }
 
-/// What boxes tell each other.
+/// A record that boxes exchange.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineRecord {
-    /// An endpoint has ended.
+    /// An endpoint has exited, whether or not it ran a request.
     EndpointEnded {
         /// The endpoint.
         endpoint: Incarnation,
-        /// When the first box saw it.
+        /// When a box first noticed it.
         at: Time,
     },
-    /// What is known of a request.
+    /// The case of a request.
     Case {
         /// The request.
         fingerprint: Fingerprint,
-        /// What is known.
+        /// The evidence and the verdict.
         case: Case,
     },
 }
 
 impl Case {
-    /// Whether it counts still.
-    fn counts(&self, now: Time) -> bool {
-        now < self.at + self.verdict.kept()
+    /// Whether the verdict has not expired.
+    fn is_valid(&self, now: Time) -> bool {
+        now < self.at + self.verdict.retention()
     }
 }
 
 impl QuarantineRecord {
-    /// Whether it counts still.
-    fn counts(&self, now: Time) -> bool {
+    /// Whether the record has not expired.
+    fn is_valid(&self, now: Time) -> bool {
         match self {
-            Self::EndpointEnded { at, .. } => end_counts(now, *at),
-            Self::Case { case, .. } => case.counts(now),
+            Self::EndpointEnded { at, .. } => is_exit_valid(now, *at),
+            Self::Case { case, .. } => case.is_valid(now),
         }
     }
 }
 
-/// Whether an endpoint's end counts still that was seen at `at`.
-fn end_counts(now: Time, at: Time) -> bool {
-    now < at + SUSPICION_KEPT
+/// Whether the exit of an endpoint that was noticed at `at` has not expired.
+fn is_exit_valid(now: Time, at: Time) -> bool {
+    now < at + SUSPICION_RETENTION
 }
 
-/// What one box knows of requests that may end endpoints.
+/// What one box knows about requests that may crash endpoints.
 #[derive(Debug, Clone, Default)]
 pub struct Quarantine {
     cases: BTreeMap<Fingerprint, Case>,
-    /// Endpoints that have ended, and when that was seen first.
-    ended: BTreeMap<Incarnation, Time>,
-    news: Vec<QuarantineRecord>,
+    /// Endpoints that have exited, and when that was first noticed.
+    exits: BTreeMap<Incarnation, Time>,
+    /// Records of this box that have not been returned for sending yet.
+    unsent: Vec<QuarantineRecord>,
 }
 
 impl Quarantine {
-    /// Whether nothing is held against any request, so that none needs to be looked up.
+    /// Whether there are no cases, so that no request needs to be looked up.
     pub fn is_empty(&self) -> bool {
         self.cases.is_empty()
     }
 
-    /// What is held of a request.
+    /// The verdict on a request, if it has a case.
     pub fn verdict(&self, fingerprint: Fingerprint) -> Option<Verdict> {
         self.cases.get(&fingerprint).map(|case| case.verdict)
     }
 
-    /// All that is held, by request.
+    /// All cases, by request.
     pub fn cases(&self) -> &BTreeMap<Fingerprint, Case> {
         &self.cases
     }
 
-    /// Learns that an endpoint ended under a request of this box, the last of `ends`; the others ended
-    /// under it before. Returns what follows for the request.
+    /// Records that the last endpoint of `ends` crashed while running a request of this box; the
+    /// others crashed while running it earlier. Returns the verdict on the request.
     pub fn record_crash(
         &mut self,
         now: Time,
@@ -200,55 +209,57 @@
         if let Some((endpoint, _)) = ends.last() {
             self.record_exit(now, endpoint);
         }
-        let told =
+        let reported =
             Case { ends: ends.iter().cloned().collect(), verdict: Verdict::Suspected, at: now };
-        self.add(fingerprint, &told);
-        self.tell(fingerprint);
+        self.merge_case(fingerprint, &reported);
+        self.queue_case(fingerprint);
         self.verdict(fingerprint).unwrap_or(Verdict::Suspected)
     }
 
-    /// Learns that an endpoint has ended, whether or not it ran anything.
+    /// Records that an endpoint has exited, whether or not it ran a request.
     pub fn record_exit(&mut self, now: Time, endpoint: &Incarnation) {
-        self.forget(now);
-        if self.note_end(endpoint, now) {
-            self.news.push(QuarantineRecord::EndpointEnded { endpoint: endpoint.clone(), at: now });
+        self.remove_expired(now);
+        if self.merge_exit(endpoint, now) {
+            self.unsent
+                .push(QuarantineRecord::EndpointEnded { endpoint: endpoint.clone(), at: now });
         }
     }
 
-    /// Learns that a request was answered whole and with success, or that an operator releases it; true if it was held for
-    /// something.
+    /// Clears a request that received a complete and successful response, or that an operator
+    /// releases. Returns whether it was suspected or condemned.
     pub fn clear(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
         let Some(case) = self.cases.get(&fingerprint) else { return false };
         if case.verdict == Verdict::Cleared {
             return false;
         }
-        // Later than what it clears, also where the clock of whoever told that is ahead.
+        // Later than the verdict that it clears, even if the clock of the box that reported it is
+        // ahead.
         let at = now.max(case.at + Duration::from_micros(1));
         let cleared = Case { ends: BTreeMap::new(), verdict: Verdict::Cleared, at };
-        self.add(fingerprint, &cleared);
-        self.tell(fingerprint);
+        self.merge_case(fingerprint, &cleared);
+        self.queue_case(fingerprint);
         true
     }
 
-    /// Learns what others found, and returns what of it was news here.
-    pub fn merge(&mut self, now: Time, findings: &[QuarantineRecord]) -> Vec<QuarantineRecord> {
-        self.forget(now);
-        let counting = findings.iter().filter(|finding| finding.counts(now));
-        let news = counting.filter(|finding| match finding {
-            QuarantineRecord::EndpointEnded { endpoint, at } => self.note_end(endpoint, *at),
-            QuarantineRecord::Case { fingerprint, case } => self.add(*fingerprint, case),
+    /// Merges the records of other boxes and returns those that changed something here.
+    pub fn merge(&mut self, now: Time, records: &[QuarantineRecord]) -> Vec<QuarantineRecord> {
+        self.remove_expired(now);
+        let unexpired = records.iter().filter(|record| record.is_valid(now));
+        let changed = unexpired.filter(|record| match record {
+            QuarantineRecord::EndpointEnded { endpoint, at } => self.merge_exit(endpoint, *at),
+            QuarantineRecord::Case { fingerprint, case } => self.merge_case(*fingerprint, case),
         });
-        news.cloned().collect()
+        changed.cloned().collect()
     }
 
-    /// What this box found since this was last asked.
+    /// Takes the records that this box created since the last call.
     pub fn take_updates(&mut self) -> Vec<QuarantineRecord> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.unsent)
     }
 
-    /// All that counts, for a box that knows nothing.
+    /// All records that have not expired, for a box that has none yet.
     pub fn valid_records(&self, now: Time) -> Vec<QuarantineRecord> {
-        let ended = self.ended.iter().map(|(endpoint, at)| QuarantineRecord::EndpointEnded {
+        let exits = self.exits.iter().map(|(endpoint, at)| QuarantineRecord::EndpointEnded {
             endpoint: endpoint.clone(),
             at: *at,
         });
@@ -256,70 +267,72 @@
             fingerprint: *fingerprint,
             case: case.clone(),
         });
-        ended.chain(cases).filter(|finding| finding.counts(now)).collect()
+        exits.chain(cases).filter(|record| record.is_valid(now)).collect()
     }
 
-    /// Notes when an endpoint ended; true if that is news.
-    fn note_end(&mut self, endpoint: &Incarnation, at: Time) -> bool {
-        match self.ended.get_mut(endpoint) {
+    /// Merges the time at which an endpoint exited. Returns whether that is new or earlier than
+    /// recorded.
+    fn merge_exit(&mut self, endpoint: &Incarnation, at: Time) -> bool {
+        match self.exits.get_mut(endpoint) {
             Some(known) if *known <= at => false,
             Some(known) => {
                 *known = at;
                 true
             }
             None => {
-                self.ended.insert(endpoint.clone(), at);
+                self.exits.insert(endpoint.clone(), at);
                 true
             }
         }
     }
 
-    /// Adds what is known of a request; true if it changes what is known.
-    fn add(&mut self, fingerprint: Fingerprint, told: &Case) -> bool {
+    /// Merges a reported case of a request. Returns whether the recorded case changed.
+    fn merge_case(&mut self, fingerprint: Fingerprint, reported: &Case) -> bool {
         let before = self.cases.get(&fingerprint);
-        let merged = merged(before, told);
+        let merged = merge_cases(before, reported);
         if before == Some(&merged) {
             return false;
         }
-        let merged = Case { verdict: self.judge(&merged), ..merged };
+        let merged = Case { verdict: self.determine_verdict(&merged), ..merged };
         self.cases.insert(fingerprint, merged);
-        self.drop_oldest();
-        // It may have been the one to give way.
+        self.evict_oldest();
+        // It may have been evicted itself.
         self.cases.contains_key(&fingerprint)
     }
 
-    fn judge(&self, case: &Case) -> Verdict {
+    fn determine_verdict(&self, case: &Case) -> Verdict {
         let counts = |(endpoint, progress): &(&Incarnation, &Progress)| {
             **progress == Progress::Reading && !self.has_common_cause(endpoint)
         };
         let counting = case.ends.iter().filter(counts).count();
-        if counting >= ENDS_THAT_COUNT || case.ends.len() >= ENDS_MOST {
+        if counting >= COUNTED_CRASHES_TO_CONDEMN || case.ends.len() >= CRASHES_TO_CONDEMN {
             return Verdict::Condemned;
         }
         case.verdict
     }
 
-    /// Whether an endpoint ended at the same moment as several others.
+    /// Whether several other endpoints exited at the same moment as this one.
     fn has_common_cause(&self, endpoint: &Incarnation) -> bool {
-        let Some(at) = self.ended.get(endpoint) else { return false };
-        let together = self.ended.values().filter(|other| other.abs_diff(*at) <= COMMON_WITHIN);
-        together.count() >= COMMON_LEAST
+        let Some(at) = self.exits.get(endpoint) else { return false };
+        let together =
+            self.exits.values().filter(|other| other.abs_diff(*at) <= COMMON_CAUSE_WINDOW);
+        together.count() >= MIN_COMMON_CAUSE_EXITS
     }
 
-    fn tell(&mut self, fingerprint: Fingerprint) {
+    fn queue_case(&mut self, fingerprint: Fingerprint) {
         if let Some(case) = self.cases.get(&fingerprint) {
-            self.news.push(QuarantineRecord::Case { fingerprint, case: case.clone() });
+            self.unsent.push(QuarantineRecord::Case { fingerprint, case: case.clone() });
         }
     }
 
-    fn forget(&mut self, now: Time) {
-        self.cases.retain(|_, case| case.counts(now));
-        self.ended.retain(|_, at| end_counts(now, *at));
+    fn remove_expired(&mut self, now: Time) {
+        self.cases.retain(|_, case| case.is_valid(now));
+        self.exits.retain(|_, at| is_exit_valid(now, *at));
     }
 
-    /// Keeps the number of cases bounded. Those that are not condemned give way first.
-    fn drop_oldest(&mut self) {
-        while self.cases.len() > CASES_MOST {
+    /// Evicts the oldest cases beyond the maximum, those that are not condemned first.
+    fn evict_oldest(&mut self) {
+        while self.cases.len() > MAX_CASES {
             let order = |case: &Case| (case.verdict == Verdict::Condemned, case.at);
             let oldest = self.cases.iter().min_by_key(|(_, case)| order(case));
             let Some((fingerprint, _)) = oldest else { return };
@@ -329,12 +342,13 @@
     }
 }
 
-/// What is known of a request by two sources.
-fn merged(before: Option<&Case>, told: &Case) -> Case {
-    let Some(before) = before else { return told.clone() };
-    // Of two verdicts of the same moment the worse one counts as the later, whichever came first.
+/// Merges the cases that two sources have of one request.
+fn merge_cases(before: Option<&Case>, reported: &Case) -> Case {
+    let Some(before) = before else { return reported.clone() };
+    // Of two verdicts at the same time the worse one counts as the later, whichever arrived first.
     let order = |case: &Case| (case.at, case.verdict);
-    let (older, newer) = if order(told) < order(before) { (told, before) } else { (before, told) };
+    let (older, newer) =
+        if order(reported) < order(before) { (reported, before) } else { (before, reported) };
     if newer.verdict == Verdict::Cleared || older.verdict == Verdict::Cleared {
         return newer.clone();
     }
