--- a/crates/vaneway-registry/src/lib.rs
+++ b/crates/vaneway-registry/src/lib.rs
@@ -1,16 +1,17 @@
 //! Endpoints that register themselves by heartbeats, merged between boxes, without I/O.
 //!
-//! Why: nobody but the system keeps a list of endpoints. A heartbeat reaches one control box and
-//! must be known at every box; boxes restart, are cut off and hear old heartbeats late. So what is
-//! known of an endpoint is a value that only grows: reports may be lost, repeated and reordered,
-//! and every box that has seen the same reports knows the same.
+//! The system keeps the only list of endpoints. A heartbeat reaches one control box and must become
+//! known at every box, while boxes restart, are cut off and receive old heartbeats late. What is
+//! known of an endpoint is therefore a value that only grows: reports may be lost, repeated or
+//! reordered, and all boxes that received the same reports have the same state.
 //!
-//! Rules: an endpoint's standing goes from ready over draining to gone and never back, whatever a
-//! later heartbeat says; within one standing the report with the higher sequence number wins; the
-//! earliest announced end wins. An endpoint that starts again under its id is another incarnation, told apart by
-//! when it was born: it knows nothing of the one before, no mark of that one hurts it, and what that one
-//! said late changes nothing. Ids that are gone are remembered for long enough that a late heartbeat can't
-//! revive them. A report of something that is remembered no longer is no news, so that what boxes tell each other ends.
+//! Rules: the lifecycle state of an endpoint goes from ready over draining to gone and never back,
+//! whatever a later heartbeat says. Within one state the report with the higher sequence number
+//! wins, and the earliest announced exit time wins. An endpoint that restarts under its id is
+//! another incarnation, told apart by its start time: it inherits no state, isn't affected by marks
+//! of the earlier incarnation, and late reports of that one are ignored. Ids that are gone are kept
+//! for so long that a late heartbeat can't revive them. A report about an id that has expired
+//! doesn't count as an update, so that boxes don't forward it to each other for ever.
 //!
 //! Times travel as ages and remaining times, since the boxes' clocks may differ.
 
@@ -21,34 +22,35 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Names an endpoint, whose incarnations share it.
+/// Id of an endpoint, shared by its incarnations.
 pub type InstanceId = String;
 
-/// When an incarnation of an endpoint started, in milliseconds since 1970; 0 if it was not told.
+/// When an incarnation of an endpoint started, in milliseconds since the Unix epoch; 0 if not
+/// known.
 pub type StartMillis = u64;
 
-/// How long an endpoint that is gone is remembered: far longer than a heartbeat can be late.
-const GONE_KEPT: Duration = Duration::from_mins(10);
+/// How long an endpoint that is gone is kept: far longer than a heartbeat can be late.
+const GONE_RETENTION: Duration = Duration::from_mins(10);
 
-/// How long an endpoint that nobody hears of is remembered.
-const SILENT_KEPT: Duration = Duration::from_mins(2);
+/// How long an endpoint that no longer reports is kept.
+const UNREPORTED_RETENTION: Duration = Duration::from_mins(2);
 
-/// Where an endpoint stands in its life.
+/// Lifecycle state of an endpoint.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum Lifecycle {
-    /// Takes work.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Finishes what it has.
+    /// Finishes its open requests and accepts no others.
     Draining,
-    /// Has said that it ends.
+    /// Has reported that it exits.
     Gone,
 }
 
 impl Lifecycle {
-    /// The standing's name in logs and dumps.
+    /// The name in logs and dumps.
     pub fn name(self) -> &'static str {
         match self {
             Self::Ready => "ready",
@@ -58,88 +60,88 @@
     }
 }
 
-/// What an endpoint says of itself.
+/// What an endpoint reports about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Details {
     /// The service that it belongs to.
     pub service: String,
-    /// Where it takes requests, as `IP:PORT`.
+    /// Address at which it accepts requests, as `IP:PORT`.
     pub address: std::net::SocketAddr,
-    /// The availability zone that it stands in.
+    /// The availability zone that it runs in.
     pub availability_zone: String,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether the cloud may take its box back.
+    /// Whether the cloud may reclaim its box.
     pub reclaimable: bool,
 }
 
-/// One report about an endpoint, as it travels.
+/// One report about an endpoint, as sent by endpoints and between boxes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Which endpoint.
+    /// Id of the endpoint.
     pub instance: InstanceId,
-    /// Which incarnation of it.
+    /// Start time of its incarnation.
     #[serde(default)]
     pub born: StartMillis,
-    /// Number of the heartbeat, which rises; 0 for a report that came with no number.
+    /// Sequence number of the heartbeat; 0 for a report without one.
     pub sequence: u64,
-    /// Where it stands.
+    /// Its lifecycle state.
     #[serde(rename = "standing")]
     pub lifecycle: Lifecycle,
-    /// Milliseconds until it ends, if it told.
+    /// Milliseconds until it exits, if announced.
     pub ends_in_ms: Option<u64>,
-    /// Milliseconds since a box heard of it directly.
+    /// Milliseconds since a box last received a heartbeat from it.
     pub age_ms: u64,
-    /// What it says of itself; none if only its end is known.
+    /// What it reports about itself; none if only its exit is known.
     pub details: Option<Details>,
 }
 
-/// What one box knows of an endpoint.
+/// State of one endpoint as known to one box.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointRecord {
-    /// The latest incarnation; all else is of it.
+    /// Start time of the latest incarnation, which all other fields describe.
     pub born: StartMillis,
-    /// Number of the newest heartbeat.
+    /// Highest sequence number received.
     pub sequence: u64,
-    /// Where it stands.
+    /// Its lifecycle state.
     pub lifecycle: Lifecycle,
-    /// When it ends, if it told.
+    /// When it exits, if announced.
     pub ends_at: Option<Instant>,
-    /// When some box last heard of it directly.
+    /// When some box last received a heartbeat from it.
     pub last_report_at: Instant,
-    /// What it says of itself.
+    /// What it reports about itself.
     pub details: Option<Details>,
 }
 
-/// What a report brought.
+/// Effect of merging a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing new.
+    /// The report contained nothing new.
     Unchanged,
-    /// It was heard of again.
+    /// Only the time of the last heartbeat advanced.
     Refreshed,
-    /// Something that others must know at once.
+    /// The state changed; other boxes must be notified at once.
     Updated,
 }
 
-/// What one box knows of all endpoints.
+/// State of all endpoints as known to one box.
 #[derive(Debug, Clone, Default)]
 pub struct Registry {
     known: BTreeMap<InstanceId, EndpointRecord>,
 }
 
 impl Registry {
-    /// Applies a report.
+    /// Merges a report.
     pub fn merge(&mut self, now: Instant, report: &Report) -> Change {
         let last_report_at = now.checked_sub(Duration::from_millis(report.age_ms)).unwrap_or(now);
         let ends_at = report.ends_in_ms.map(|left| now + Duration::from_millis(left));
         if let Some(known) = self.known.get_mut(&report.instance)
-            && !report.is_reborn(known)
+            && !report.is_newer_incarnation(known)
         {
             return known.merge(report, last_report_at, ends_at);
         }
-        if now.saturating_duration_since(last_report_at) >= kept(report.lifecycle) {
-            // It would be forgotten at once, and be news again the next time.
+        if now.saturating_duration_since(last_report_at) >= retention(report.lifecycle) {
+            // It would expire at once, and count as an update again the next time.
             return Change::Unchanged;
         }
         let known = EndpointRecord {
@@ -154,61 +156,62 @@
         Change::Updated
     }
 
-    /// Everything that is known.
+    /// All endpoints with their state.
     pub fn iter(&self) -> impl Iterator<Item = (&InstanceId, &EndpointRecord)> {
         self.known.iter()
     }
 
-    /// What is known of one endpoint.
+    /// The state of one endpoint.
     pub fn get(&self, instance: &str) -> Option<&EndpointRecord> {
         self.known.get(instance)
     }
 
-    /// The incarnation of an endpoint that is known; 0 if none is, or it did not tell.
+    /// Start time of the known incarnation of an endpoint; 0 if the endpoint or the time isn't
+    /// known.
     pub fn born(&self, instance: &str) -> StartMillis {
         self.known.get(instance).map_or(0, |known| known.born)
     }
 
-    /// How many endpoints are known, gone ones included.
+    /// Number of endpoints, including those that are gone.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether no endpoint is known.
+    /// Whether there are no endpoints.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// A report that tells another box what is known of `instance`.
+    /// A report of the state of `instance`, for another box.
     pub fn report(&self, now: Instant, instance: &str) -> Option<Report> {
         self.known.get(instance).map(|known| known.report(now, instance))
     }
 
-    /// Reports of everything, for a box that knows nothing yet.
+    /// Reports of all endpoints, for a box that has no state yet.
     pub fn reports(&self, now: Instant) -> Vec<Report> {
         self.known.iter().map(|(instance, known)| known.report(now, instance)).collect()
     }
 
-    /// Forgets what can matter no more.
+    /// Removes endpoints that have not reported within the retention time of their state.
     pub fn expire(&mut self, now: Instant) {
         self.known.retain(|_, known| {
-            now.saturating_duration_since(known.last_report_at) < kept(known.lifecycle)
+            now.saturating_duration_since(known.last_report_at) < retention(known.lifecycle)
         });
     }
 }
 
-/// How long an endpoint is remembered of which nothing is heard.
-fn kept(lifecycle: Lifecycle) -> Duration {
+/// How long an endpoint that no longer reports is kept.
+fn retention(lifecycle: Lifecycle) -> Duration {
     match lifecycle {
-        Lifecycle::Ready | Lifecycle::Draining => SILENT_KEPT,
-        Lifecycle::Gone => GONE_KEPT,
+        Lifecycle::Ready | Lifecycle::Draining => UNREPORTED_RETENTION,
+        Lifecycle::Gone => GONE_RETENTION,
     }
 }
 
 impl Report {
-    /// Whether it is of a later incarnation than the one that is known. One that doesn't tell when it was
-    /// born is taken for the one that is known.
-    fn is_reborn(&self, known: &EndpointRecord) -> bool {
+    /// Whether it is about a later incarnation than the known one. A report without a start time is
+    /// taken to be about the known incarnation.
+    fn is_newer_incarnation(&self, known: &EndpointRecord) -> bool {
         known.born > 0 && self.born > known.born
     }
 }
@@ -226,24 +229,24 @@
         self.born = self.born.max(report.born);
         let refreshed = last_report_at > self.last_report_at;
         self.last_report_at = self.last_report_at.max(last_report_at);
-        let mut news = false;
+        let mut changed = false;
         if report.lifecycle > self.lifecycle {
             self.lifecycle = report.lifecycle;
-            news = true;
+            changed = true;
         }
         if let Some(at) = ends_at
-            && self.ends_at.is_none_or(|known| at + ENDS_TOLERANCE < known)
+            && self.ends_at.is_none_or(|known| at + EXIT_TIME_TOLERANCE < known)
         {
             self.ends_at = Some(at);
-            news = true;
+            changed = true;
         }
         let newer = report.sequence > self.sequence || self.details.is_none();
         self.sequence = self.sequence.max(report.sequence);
         if newer && report.details.is_some() && report.details != self.details {
             self.details.clone_from(&report.details);
-            news = true;
+            changed = true;
         }
-        match (news, refreshed) {
+        match (changed, refreshed) {
             (true, _) => Change::Updated,
             (false, true) => Change::Refreshed,
             (false, false) => Change::Unchanged,
@@ -264,5 +267,5 @@
     }
 }
 
-/// Difference of two announced ends that the way of the reports can explain.
-const ENDS_TOLERANCE: Duration = Duration::from_millis(300);
+/// Difference between two announced exit times that network delay of the reports can explain.
+const EXIT_TIME_TOLERANCE: Duration = Duration::from_millis(300);
