--- a/crates/vaneway-relay/src/attempt.rs
+++ b/crates/vaneway-relay/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one endpoint, and what its end means.
+//! One attempt to run a request at one endpoint, and its outcome.
 
 use std::sync::OnceLock;
 
@@ -24,17 +24,17 @@
     pub enum AttemptEvent {
         /// The request was handed to the connection.
         Written = "written",
-        /// The connection gave the request back unsent.
+        /// The connection returned the request unsent.
         Returned = "returned",
-        /// The endpoint said that it did not run the request.
+        /// The endpoint reported that it did not run the request.
         Refusal = "refusal",
-        /// The head of an answer arrived.
+        /// The head of the response arrived.
         Head = "head",
-        /// The answer ended as its protocol says it must.
+        /// The response ended as its protocol requires.
         End = "end",
-        /// The connection failed or a time limit passed.
+        /// The connection failed or a timeout expired.
         Broken = "broken",
-        /// This box gave the attempt up.
+        /// This box cancelled the attempt.
         Cancelled = "cancelled",
     }
 }
@@ -42,7 +42,7 @@
 chart_names! {
     /// The chart `attempt.json` has no actions.
     pub enum AttemptAction {
-        /// Stands for nothing.
+        /// Placeholder, since an enum needs a variant.
         None = "none",
     }
 }
@@ -62,22 +62,22 @@
     })
 }
 
-/// What is known of an attempt that ended.
+/// What is known about an attempt that ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The endpoint never got the request.
+    /// The endpoint never received the request.
     NotSent,
-    /// The endpoint said that it did not run the request.
+    /// The endpoint reported that it did not run the request.
     Refused,
     /// The endpoint may have run the request.
     Unknown,
-    /// The whole answer arrived.
+    /// The complete response arrived.
     Done,
 }
 
 impl Outcome {
-    /// The outcome's name in logs and metrics.
+    /// The name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
@@ -88,7 +88,7 @@
     }
 }
 
-/// An attempt that runs.
+/// The state of one attempt.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     state: AttemptState,
@@ -112,7 +112,7 @@
         self.outcome()
     }
 
-    /// Where the attempt stands.
+    /// The current state in the chart.
     pub fn state(&self) -> AttemptState {
         self.state
     }
--- a/crates/vaneway-relay/src/budget.rs
+++ b/crates/vaneway-relay/src/budget.rs
@@ -1,13 +1,13 @@
 //! A budget that keeps retries a small share of requests.
 //!
-//! Why: when many endpoints fail at once, each failed attempt invites another, and the retries
-//! can outweigh the requests. The budget gains a fraction of a retry with every request and each
-//! retry spends a whole one, so over time the retries cannot exceed that fraction.
+//! When many endpoints fail at once, each failed attempt causes another one, and there can be more
+//! retries than requests. Every request adds a fraction of a retry to the budget and every retry
+//! spends one, so that in the long run retries can't exceed that fraction of the requests.
 
-/// Parts of a retry that the budget counts in: one retry is worth this much.
-const UNIT: u32 = 1_000;
+/// Balance units per retry, so that fractions of a retry can be counted.
+const UNITS_PER_RETRY: u32 = 1_000;
 
-/// A bounded account of retries that one service may still make.
+/// Budget of the retries that one service may still make.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     balance: u32,
@@ -16,36 +16,36 @@
 }
 
 impl RetryBudget {
-    /// A budget of `percent` retries for each hundred requests, starting full at `reserve`
-    /// retries and never holding more.
+    /// A budget of `percent` retries per hundred requests. It starts with `reserve` retries and
+    /// never holds more.
     pub fn new(percent: u32, reserve: u32) -> Self {
-        let cap = reserve.saturating_mul(UNIT);
-        Self { balance: cap, gain: percent.saturating_mul(UNIT) / 100, cap }
+        let cap = reserve.saturating_mul(UNITS_PER_RETRY);
+        Self { balance: cap, gain: percent.saturating_mul(UNITS_PER_RETRY) / 100, cap }
     }
 
-    /// Changes the share and the reserve; what was saved is kept as far as the reserve allows.
+    /// Changes the percentage and the reserve; the balance is kept up to the new reserve.
     pub fn set(&mut self, percent: u32, reserve: u32) {
-        self.cap = reserve.saturating_mul(UNIT);
-        self.gain = percent.saturating_mul(UNIT) / 100;
+        self.cap = reserve.saturating_mul(UNITS_PER_RETRY);
+        self.gain = percent.saturating_mul(UNITS_PER_RETRY) / 100;
         self.balance = self.balance.min(self.cap);
     }
 
-    /// Counts a new request.
+    /// Adds the share of one new request.
     pub fn deposit(&mut self) {
         self.balance = self.balance.saturating_add(self.gain).min(self.cap);
     }
 
-    /// Spends one retry; false if the budget is exhausted.
+    /// Spends one retry. Returns false if the budget is exhausted.
     pub fn withdraw(&mut self) -> bool {
-        let enough = self.balance >= UNIT;
+        let enough = self.balance >= UNITS_PER_RETRY;
         if enough {
-            self.balance -= UNIT;
+            self.balance -= UNITS_PER_RETRY;
         }
         enough
     }
 
-    /// Whole retries left.
+    /// Number of retries left.
     pub fn left(&self) -> u32 {
-        self.balance / UNIT
+        self.balance / UNITS_PER_RETRY
     }
 }
--- a/crates/vaneway-relay/src/chunk.rs
+++ b/crates/vaneway-relay/src/chunk.rs
@@ -1,4 +1,4 @@
-//! One chunk of a streamed answer, as far as the relay must understand it.
+//! One chunk of a streamed response, parsed as far as the relay needs it.
 
 use std::fmt;
 
@@ -7,34 +7,34 @@
 
 use crate::TokenOffset;
 
-/// A chunk of a streamed answer in the OpenAI form.
+/// A chunk of a streamed response in OpenAI format.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chunk {
-    /// Tokens from the beginning of the answer up to and including this chunk, if the engine
-    /// says so.
+    /// Tokens from the beginning of the response up to and including this chunk, if the engine
+    /// sends that number.
     pub offset: Option<TokenOffset>,
     /// The JSON text of the chunk.
     pub data: String,
     /// The text that the chunk adds.
     pub text: String,
-    /// When the engine says the answer was created, in seconds since 1970.
+    /// Creation time of the response according to the engine, in seconds since the Unix epoch.
     pub created: Option<u64>,
-    /// Whether the chunk says why the answer ended.
+    /// Whether the chunk has a finish reason.
     pub finishes: bool,
-    /// Whether the chunk carries the usage figures and nothing else.
+    /// Whether the chunk has only usage figures.
     pub usage_only: bool,
 }
 
-/// Stands for the text of an event whose content means nothing here.
-const EVENT_TEXT: &str = ".";
+/// Placeholder text of an event whose content isn't interpreted.
+const OPAQUE_EVENT_TEXT: &str = ".";
 
-/// A chunk that is not in the OpenAI form.
+/// The error for a chunk that is not in OpenAI format.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChunkError(String);
 
 impl fmt::Display for ChunkError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the engine sent a chunk that can't be read: {}", self.0)
+        write!(f, "the engine sent an invalid chunk: {}", self.0)
     }
 }
 
@@ -61,24 +61,25 @@
 }
 
 impl Chunk {
-    /// A numbered event whose content means nothing here. It stands for one token, since it must
-    /// reach the caller once like a token.
+    /// A numbered event whose content isn't interpreted. It counts as one token, since the caller
+    /// must receive it exactly once, like a token.
     pub fn event(number: Option<TokenOffset>, data: String) -> Self {
         Self {
             offset: number,
             data,
-            text: EVENT_TEXT.to_owned(),
+            text: OPAQUE_EVENT_TEXT.to_owned(),
             created: None,
             finishes: false,
             usage_only: false,
         }
     }
 
-    /// Reads the `data` of one server-sent event; `id` is the event's id, the token offset.
+    /// Parses the `data` of one server-sent event; `id` is the event's id, which is the token
+    /// offset.
     ///
     /// # Errors
     ///
-    /// [`ChunkError`] if `data` is not a chunk in the OpenAI form.
+    /// [`ChunkError`] if `data` is not a chunk in OpenAI format.
     pub fn read(id: &str, data: String) -> Result<Self, ChunkError> {
         let view: ChunkView =
             serde_json::from_str(&data).map_err(|error| ChunkError(error.to_string()))?;
@@ -92,7 +93,7 @@
         Ok(Self { offset, data, text, created: view.created, finishes, usage_only })
     }
 
-    /// Gives the chunk the creation time that the caller has seen already.
+    /// Replaces the creation time by the one that the caller has already received.
     pub(crate) fn set_created(&mut self, created: u64) {
         if self.created == Some(created) {
             return;
--- a/crates/vaneway-relay/src/event.rs
+++ b/crates/vaneway-relay/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a request, and what to do about it.
+//! Input events and output actions of a relayed request.
 
 use std::time::Instant;
 
@@ -9,44 +9,44 @@
 use crate::Outcome;
 use crate::TokenOffset;
 
-/// Number of an attempt within its request, from 1.
+/// Number of an attempt within its request, starting at 1.
 pub type AttemptId = u32;
 
-/// Position of an endpoint in the pool.
+/// Index of an endpoint in the pool.
 pub type EndpointId = u32;
 
-/// What happened.
+/// Input to a relay.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// The request was accepted.
     Begin,
-    /// Answer to [`Action::Choose`].
+    /// Reply to [`Action::Choose`]: an endpoint was chosen.
     Chosen {
-        /// The endpoint chosen.
+        /// The chosen endpoint.
         endpoint: EndpointId,
     },
-    /// Answer to [`Action::Choose`]: none can take work now.
+    /// Reply to [`Action::Choose`]: no endpoint accepts requests now.
     Unavailable {
         /// Whether endpoints exist but are full.
         full: bool,
-        /// When one may be available, if known.
+        /// When one may be available again, if known.
         until: Option<Instant>,
     },
-    /// Answer to [`Action::Wake`].
+    /// Reply to [`Action::Wake`]: its time has come.
     Woken,
-    /// Answer to [`Action::Transfer`].
+    /// Reply to [`Action::Transfer`]: the transfer has ended.
     Transferred {
         /// The attempt number given with the action.
         attempt: AttemptId,
-        /// Whether the target now holds the stream's whole state.
+        /// Whether the target now holds the complete state of the stream.
         complete: bool,
     },
-    /// The endpoint accepted the attempt and its answer began.
+    /// The endpoint accepted the attempt and its response began.
     Head {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// A chunk of the answer arrived.
+    /// A chunk of the response arrived.
     Chunk {
         /// The attempt.
         attempt: AttemptId,
@@ -57,23 +57,23 @@
     Ended {
         /// The attempt.
         attempt: AttemptId,
-        /// What is known of it.
+        /// Its outcome.
         outcome: Outcome,
     },
-    /// The request is held to end the endpoints that run it: an attempt that runs is taken back, and no other
-    /// begins.
+    /// The request is condemned for crashing the endpoints that run it: the running attempt is
+    /// aborted and no other one is started.
     Condemned,
-    /// The endpoint gave a final answer that is not a stream, such as a refusal of the request's
-    /// content.
+    /// The endpoint sent a final response that is not a stream, such as an error about the
+    /// request's content.
     Answered {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// An endpoint is going to be taken back.
+    /// The box of an endpoint will be reclaimed.
     Leaving {
         /// The endpoint.
         endpoint: EndpointId,
-        /// When it is gone.
+        /// When it will be gone.
         gone_at: Instant,
     },
     /// An endpoint is gone.
@@ -87,69 +87,70 @@
     CallerGone,
 }
 
-/// How an attempt begins.
+/// Where an attempt begins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Start {
-    /// From the beginning.
+    /// At the beginning of the response.
     Fresh,
-    /// The engine holds the state: go on after this many tokens.
+    /// After tokens that the caller has; the engine holds the state.
     Resume {
         /// Tokens that the caller has.
         after: TokenOffset,
     },
-    /// The engine does not hold the state: compute it again from the prompt and the text sent.
+    /// After tokens that the caller has; the engine recomputes the state from the prompt and the
+    /// text sent.
     Continue {
         /// Tokens that the caller has.
         after: TokenOffset,
     },
 }
 
-/// What to do next.
+/// Output of a relay, to be carried out by its owner.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Choose an endpoint; answer with [`Event::Chosen`] or [`Event::Unavailable`].
+    /// Choose an endpoint; reply with [`Event::Chosen`] or [`Event::Unavailable`].
     Choose,
     /// Start an attempt.
     Start {
         /// Its number.
         attempt: AttemptId,
-        /// Where.
+        /// The endpoint to run it at.
         endpoint: EndpointId,
-        /// How it begins.
+        /// Where it begins.
         how: Start,
     },
-    /// Let `to` fetch the stream's state from `from`; answer with [`Event::Transferred`].
+    /// Let `to` fetch the stream's state from `from`; reply with [`Event::Transferred`].
     Transfer {
-        /// The attempt that will follow.
+        /// Number of the attempt that will follow.
         attempt: AttemptId,
-        /// Where the state is.
+        /// The endpoint that holds the state.
         from: EndpointId,
-        /// Where it should be.
+        /// The endpoint that will need it.
         to: EndpointId,
         /// Tokens that the caller has.
         tokens: TokenOffset,
     },
-    /// Deliver [`Event::Woken`] at this time.
+    /// Deliver [`Event::Woken`] at a given time.
     Wake {
-        /// When.
+        /// The time.
         at: Instant,
     },
-    /// Close the connection of an attempt; the engine keeps the state for a while.
+    /// Close the connection of an attempt; the engine holds the state for some time.
     Detach {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Close the connection of an attempt and tell the engine to free what it holds.
+    /// Close the connection of an attempt and have the engine free the state.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
-        /// Where it ran.
+        /// The endpoint that ran it.
         endpoint: EndpointId,
     },
-    /// Free the state that a moved stream left behind.
+    /// Have the engine free the state of a stream that was moved away.
     Release {
-        /// Where it ran.
+        /// The endpoint that ran it.
         endpoint: EndpointId,
     },
     /// Send a chunk to the caller.
@@ -157,11 +158,11 @@
         /// The chunk.
         chunk: Chunk,
     },
-    /// The answer is whole.
+    /// The response is complete.
     Complete,
-    /// Tell the caller that the request failed.
+    /// Return an error to the caller.
     Fail {
-        /// What to tell.
+        /// The reason, and whether the request was run.
         failure: Failure,
     },
 }
--- a/crates/vaneway-relay/src/failure.rs
+++ b/crates/vaneway-relay/src/failure.rs
@@ -1,4 +1,4 @@
-//! What a caller is told of a request that failed.
+//! The failure of a request as reported to its caller.
 
 use serde::Serialize;
 
@@ -15,7 +15,7 @@
 }
 
 impl RunState {
-    /// The word that callers see.
+    /// The name in responses to callers.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FailureKind {
-    /// No endpoint of the service takes work.
+    /// No endpoint of the service accepts requests.
     NoEndpoint,
     /// Every endpoint of the service is full.
     Overloaded,
@@ -37,15 +37,15 @@
     DeadlineExceeded,
     /// Attempts failed and no more are allowed.
     AttemptsExhausted,
-    /// An attempt ended without an answer and may not be repeated.
+    /// An attempt ended without a response and may not be repeated.
     OutcomeUnknown,
-    /// Endpoints ended under it, so it may run at no other one.
+    /// It crashed endpoints, so it may not run at another one.
     #[serde(rename = "ends_endpoints")]
     CrashesEndpoints,
 }
 
 impl FailureKind {
-    /// The stable code that callers see.
+    /// The stable code in responses to callers.
     pub fn code(self) -> &'static str {
         match self {
             Self::NoEndpoint => "no_endpoint",
@@ -58,7 +58,7 @@
     }
 }
 
-/// What a caller is told of a request that failed.
+/// The failure of a request, as reported to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Failure {
     /// Why it failed.
--- a/crates/vaneway-relay/src/lib.rs
+++ b/crates/vaneway-relay/src/lib.rs
@@ -1,15 +1,15 @@
 //! Request and attempt decisions: retries, moves and splicing by token offset, without I/O.
 //!
-//! Why: an accepted request must reach its caller whole although endpoints leave, die and answer
-//! late. The rules for that are easy to get wrong in code that also moves bytes, so they stand
-//! here alone, as state machines that tests can drive through every order of events.
+//! The caller of an accepted request must receive the complete response although endpoints leave,
+//! crash or respond late. The rules for that are easy to get wrong in code that also does I/O, so
+//! they are separated here, as state machines that tests can drive through every order of events.
 //!
-//! Data flow: the owner of the sockets feeds a [`Relay`] with [`Event`]s (an endpoint was chosen,
-//! a chunk arrived, an attempt ended, a reclaim notice came) and carries out the [`Action`]s that
-//! come back (choose an endpoint, start an attempt, send bytes to the caller). Inside, a
-//! [`Splice`] decides for each chunk whether the caller has it already. What an attempt's end
-//! means is its [`Outcome`], which an [`Attempt`] derives from what happened on the connection.
-//! Lives are charts: `charts/request.json` and `charts/attempt.json`.
+//! Data flow: the owner of the sockets feeds [`Event`]s to a [`Relay`] (an endpoint was chosen, a
+//! chunk arrived, an attempt ended, a reclaim notice arrived) and carries out the [`Action`]s that
+//! it returns (choose an endpoint, start an attempt, send bytes to the caller). Inside, a
+//! [`Splice`] decides for each chunk whether the caller already has it. An [`Attempt`] derives the
+//! [`Outcome`] of an attempt from the events on its connection. The lifecycles are state charts:
+//! `charts/request.json` and `charts/attempt.json`.
 
 mod attempt;
 mod budget;
@@ -48,5 +48,5 @@
 pub use splice::ChunkDecision;
 pub use splice::Splice;
 
-/// Number of tokens from the beginning of an answer.
+/// Number of tokens from the beginning of a response.
 pub type TokenOffset = u32;
--- a/crates/vaneway-relay/src/plan.rs
+++ b/crates/vaneway-relay/src/plan.rs
@@ -1,76 +1,76 @@
-//! What may be done for a request, and what was done.
+//! The rules for relaying one request, and counts of its attempts.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use serde::Serialize;
 
-/// What an answer looks like, and so how it can survive its endpoint.
+/// Form of a response, which determines how it can survive the loss of its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerForm {
-    /// In one piece: only a whole one is of use.
+    /// In one piece: a partial response is of no use.
     Buffered,
-    /// A stream of tokens whose state can be moved, or computed again from the text so far, so
-    /// that going on elsewhere is the same run.
+    /// A stream of tokens whose state can be moved, or recomputed from the text sent so far, so
+    /// that another endpoint continues the same run.
     TokenStream,
-    /// A stream of numbered events. Going on elsewhere is another run, for which the caller's
-    /// request is sent again with the number of the last event.
+    /// A stream of numbered events. Resuming it at another endpoint is another run, for which the
+    /// caller's request is sent again with the number of the last event.
     EventStream {
-        /// Whether that is allowed.
+        /// Whether the stream may be resumed.
         resumable: bool,
     },
 }
 
-/// When a request whose answer has not begun waits for an endpoint to take work.
+/// When a request whose response has not begun waits for an available endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitPolicy {
-    /// Up to this long, whatever is known.
+    /// It waits for at most this long, whatever is known about endpoints.
     AtMost(Duration),
-    /// Only while one is expected to take work again by this time; otherwise the request is refused
-    /// at once, since waiting would only delay its caller.
+    /// It waits only while an endpoint is expected to be available by the deadline. Otherwise it is
+    /// refused at once, since waiting would only delay its caller.
     IfExpectedBy {
-        /// Latest time at which the wait is still of use.
+        /// Latest time at which an available endpoint is still of use.
         deadline: Instant,
     },
 }
 
-/// What may be done for a request.
+/// The rules for relaying one request.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// What its answer looks like.
+    /// The form of its response.
     pub form: AnswerForm,
-    /// Whether the caller asked for usage figures at the end of the stream.
+    /// Whether the caller requested usage figures at the end of the stream.
     pub wants_usage: bool,
-    /// Most endpoints that the request may reach before its answer begins; for a stream of events,
-    /// over its whole life.
+    /// Maximum number of attempts that reach an endpoint before the response begins; for a stream
+    /// of events, over its whole duration.
     pub max_attempts: u32,
-    /// When the caller is given up.
+    /// When the request fails if it isn't complete.
     pub deadline: Instant,
-    /// When to wait for an endpoint before the answer begins.
+    /// When to wait for an endpoint before the response begins.
     pub wait_policy: WaitPolicy,
     /// Estimated tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens of the response.
     pub max_tokens: u32,
-    /// Seed of the jitter.
+    /// Seed of the back-off jitter.
     pub seed: u64,
 }
 
-/// How often and at what cost a request moved.
+/// Counts of the attempts of one request and of the tokens recomputed for them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct AttemptCounts {
     /// Attempts made.
     pub attempts: u32,
-    /// Attempts that were retries before the answer began.
+    /// Attempts that were retries before the response began.
     pub retries: u32,
     /// Attempts that resumed at an engine that held the state.
     pub resumed: u32,
     /// Attempts that resumed after a KV transfer.
     pub transferred: u32,
-    /// Attempts that computed the state again.
+    /// Attempts that recomputed the state.
     pub recomputed: u32,
-    /// Tokens that these attempts computed again, by this box's estimate.
+    /// Tokens that these attempts recomputed, as estimated by this box.
     pub recomputed_tokens: u64,
 }
--- a/crates/vaneway-relay/src/request.rs
+++ b/crates/vaneway-relay/src/request.rs
@@ -1,4 +1,4 @@
-//! Names and compiled form of the chart `request.json`.
+//! States, events, actions and compiled form of the chart `request.json`.
 
 use std::sync::OnceLock;
 
--- a/crates/vaneway-relay/src/splice.rs
+++ b/crates/vaneway-relay/src/splice.rs
@@ -1,25 +1,25 @@
-//! Joins the chunks of several attempts into one answer.
+//! Joins the chunks of several attempts into one response.
 //!
 //! Every attempt begins at a known token offset and its chunks follow in order. The caller must
-//! see each token once, the role, finish and usage chunks once, and all chunks with the creation
-//! time of the first.
+//! receive each token once, the role, finish and usage chunks once, and all chunks with the
+//! creation time of the first.
 
 use crate::Chunk;
 use crate::TokenOffset;
 
-/// What to do with a chunk.
+/// Decision about a chunk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChunkDecision {
     /// Send it to the caller.
     Emit(Chunk),
-    /// The caller has it already.
+    /// Drop it, since the caller has it already.
     Drop,
-    /// Tokens are missing between what the caller has and this chunk, or the chunk holds both
-    /// old and new tokens: the attempt is of no use.
+    /// Tokens are missing between those that the caller has and this chunk, or the chunk contains
+    /// both old and new tokens: the attempt can't be continued.
     Gap,
 }
 
-/// What the caller has of the answer.
+/// The part of the response that the caller has.
 #[derive(Debug, Clone, Default)]
 pub struct Splice {
     sent_tokens: TokenOffset,
@@ -32,7 +32,7 @@
 }
 
 impl Splice {
-    /// An answer of which nothing was sent.
+    /// A response of which nothing was sent.
     pub fn new() -> Self {
         Self::default()
     }
@@ -52,40 +52,40 @@
         self.has_sent
     }
 
-    /// Whether the chunk that says why the answer ended was sent.
+    /// Whether the chunk with the finish reason was sent.
     pub fn is_finished(&self) -> bool {
         self.is_finished
     }
 
-    /// A new attempt begins after the first `base` tokens.
+    /// Starts a new attempt, which begins after the first `base` tokens.
     pub fn begin(&mut self, base: TokenOffset) {
         self.position = base;
     }
 
-    /// Judges the next chunk of the current attempt.
+    /// Decides what to do with the next chunk of the current attempt.
     pub fn push(&mut self, mut chunk: Chunk) -> ChunkDecision {
         if self.position > self.sent_tokens {
             return ChunkDecision::Gap;
         }
-        let verdict = if chunk.usage_only {
+        let should_send = if chunk.usage_only {
             Some(!std::mem::replace(&mut self.usage_sent, true))
         } else if chunk.text.is_empty() && !chunk.finishes {
             Some(!self.has_sent)
         } else {
-            self.tokens(&chunk)
+            self.push_tokens(&chunk)
         };
-        match verdict {
+        match should_send {
             None => ChunkDecision::Gap,
             Some(false) => ChunkDecision::Drop,
             Some(true) => {
-                self.emit(&mut chunk);
+                self.prepare(&mut chunk);
                 ChunkDecision::Emit(chunk)
             }
         }
     }
 
-    /// Judges a chunk with text or a finish reason; none means a gap.
-    fn tokens(&mut self, chunk: &Chunk) -> Option<bool> {
+    /// Whether to send a chunk with text or a finish reason; none if there is a gap.
+    fn push_tokens(&mut self, chunk: &Chunk) -> Option<bool> {
         let counted = TokenOffset::from(!chunk.text.is_empty());
         let end = chunk.offset.unwrap_or(self.position + counted);
         let start = std::mem::replace(&mut self.position, end);
@@ -102,15 +102,15 @@
             return Some(true);
         }
         if chunk.finishes && end == self.sent_tokens && !self.is_finished {
-            // The tokens of this chunk were sent before, the finish was not: only a chunk
-            // without text can be sent now.
+            // The tokens of this chunk were sent before but the finish reason was not: only a
+            // chunk without text can be sent now.
             self.is_finished = chunk.text.is_empty();
             return self.is_finished.then_some(true);
         }
         Some(false)
     }
 
-    fn emit(&mut self, chunk: &mut Chunk) {
+    fn prepare(&mut self, chunk: &mut Chunk) {
         self.has_sent = true;
         match (self.created, chunk.created) {
             (Some(created), Some(_)) => chunk.set_created(created),
