--- a/crates/vaneway-server/src/core/callers/answer.rs
+++ b/crates/vaneway-server/src/core/callers/answer.rs
@@ -1,9 +1,9 @@
-//! The caller's side of one request to a model: how chunks become an answer.
+//! The caller's side of one request to a model: builds the response from chunks.
 //!
-//! A streaming caller gets each chunk as a server-sent event. Any other caller gets one JSON
-//! object, put together from the same chunks, so that both survive the loss of an endpoint in
-//! the same way. Until the first chunk the status is still open, and a failure is a plain error
-//! response; after it, a failure is an error event and a body that is cut off.
+//! A streaming caller gets each chunk as a server-sent event. Any other caller gets one JSON object
+//! that is assembled from the same chunks, so that both survive the loss of an endpoint in the same
+//! way. Until the first chunk the status is not sent, and a failure becomes an error response;
+//! after it, a failure becomes an error event followed by a truncated body.
 
 use std::task::Context;
 use std::task::Poll;
@@ -25,10 +25,10 @@
 use crate::util::outbox::Outbox;
 use crate::util::outbox::outbox;
 
-/// Where the response is awaited.
+/// Receives the response once its status is known.
 pub type ReplyReceiver = oneshot::Receiver<Response<ResponseBody>>;
 
-/// Which of the two interfaces the caller used.
+/// The API that the caller used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Interface {
     /// `/v1/chat/completions`.
@@ -38,7 +38,7 @@
 }
 
 impl Interface {
-    /// The path, the same at the entry and at the engines.
+    /// The path, which is the same at the entry box and at the engines.
     pub fn path(self) -> &'static str {
         match self {
             Self::Chat => "/v1/chat/completions",
@@ -48,63 +48,63 @@
 }
 
 #[derive(Debug, Default)]
-struct Collected {
+struct CollectedChunks {
     first: Option<String>,
     finish: Option<String>,
     usage: Option<String>,
 }
 
 #[derive(Debug)]
-enum Form {
+enum ResponseForm {
     Stream { limit: usize, outbox: Option<Outbox> },
-    Whole { interface: Interface, collected: Collected },
+    Buffered { interface: Interface, collected: CollectedChunks },
 }
 
-/// The answer to one caller, while it is made.
+/// The response to one caller while it is produced.
 #[derive(Debug)]
-pub struct Answer {
+pub struct CallerResponse {
     reply: Option<oneshot::Sender<Response<ResponseBody>>>,
-    form: Form,
+    form: ResponseForm,
 }
 
-impl Answer {
-    /// A streamed answer that holds at most about `limit` bytes for a slow caller.
+impl CallerResponse {
+    /// A streamed response that buffers at most about `limit` bytes for a slow caller.
     pub fn stream(limit: usize) -> (Self, ReplyReceiver) {
-        Self::with(Form::Stream { limit, outbox: None })
+        Self::with(ResponseForm::Stream { limit, outbox: None })
     }
 
-    /// An answer in one piece.
-    pub fn whole(interface: Interface) -> (Self, ReplyReceiver) {
-        Self::with(Form::Whole { interface, collected: Collected::default() })
+    /// A response in one piece.
+    pub fn buffered(interface: Interface) -> (Self, ReplyReceiver) {
+        Self::with(ResponseForm::Buffered { interface, collected: CollectedChunks::default() })
     }
 
-    fn with(form: Form) -> (Self, ReplyReceiver) {
+    fn with(form: ResponseForm) -> (Self, ReplyReceiver) {
         let (tx, rx) = oneshot::channel();
         (Self { reply: Some(tx), form }, rx)
     }
 
-    /// Ready once the caller is gone.
+    /// Ready once the caller has disconnected.
     pub fn poll_closed(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         match (&mut self.reply, &self.form) {
             (Some(reply), _) => reply.poll_canceled(cx),
-            (None, Form::Stream { outbox: Some(outbox), .. }) => outbox.poll_closed(cx),
+            (None, ResponseForm::Stream { outbox: Some(outbox), .. }) => outbox.poll_closed(cx),
             (None, _) => Poll::Pending,
         }
     }
 
-    /// Ready while the caller takes more.
+    /// Ready while the buffer for the caller has capacity.
     pub fn poll_capacity(&self, cx: &mut Context<'_>) -> Poll<()> {
         match &self.form {
-            Form::Stream { outbox: Some(outbox), .. } => outbox.poll_capacity(cx),
+            ResponseForm::Stream { outbox: Some(outbox), .. } => outbox.poll_capacity(cx),
             _ => Poll::Ready(()),
         }
     }
 
-    /// Takes the next chunk.
+    /// Adds the next chunk.
     pub fn chunk(&mut self, chunk: Chunk) {
         match &mut self.form {
-            Form::Stream { .. } => self.send_event(&chunk.data),
-            Form::Whole { collected, .. } => {
+            ResponseForm::Stream { .. } => self.send_event(&chunk.data),
+            ResponseForm::Buffered { collected, .. } => {
                 if chunk.usage_only {
                     collected.usage = Some(chunk.data);
                 } else if chunk.finishes {
@@ -116,34 +116,34 @@
         }
     }
 
-    /// Ends the answer as whole; `text` is all of its text.
+    /// Completes the response; `text` is its complete text.
     pub fn complete(mut self, text: &str) {
         match &mut self.form {
-            Form::Stream { .. } => {
+            ResponseForm::Stream { .. } => {
                 self.send_event("[DONE]");
                 if let Some(outbox) = self.take_outbox() {
                     outbox.finish();
                 }
             }
-            Form::Whole { interface, collected } => {
+            ResponseForm::Buffered { interface, collected } => {
                 let body = assemble(*interface, collected, text).to_string();
                 self.respond(json_response(StatusCode::OK, Bytes::from(body)));
             }
         }
     }
 
-    /// Ends the answer with a response that the endpoint gave.
-    pub fn pass_on(mut self, status: StatusCode, body: Bytes) {
+    /// Ends with a response of the endpoint.
+    pub fn forward(mut self, status: StatusCode, body: Bytes) {
         self.respond(json_response(status, body));
     }
 
-    /// Ends the answer with an error.
+    /// Ends with an error.
     pub fn fail(mut self, error: ApiError) {
         if self.reply.is_some() {
             self.respond(error.into_response());
             return;
         }
-        // Dropped unfinished, which cuts the body off.
+        // The outbox is dropped unfinished, which truncates the body.
         if let Some(outbox) = self.take_outbox() {
             push_event(&outbox, &error.to_json());
         }
@@ -151,25 +151,25 @@
 
     fn take_outbox(&mut self) -> Option<Outbox> {
         match &mut self.form {
-            Form::Stream { outbox, .. } => outbox.take(),
-            Form::Whole { .. } => None,
+            ResponseForm::Stream { outbox, .. } => outbox.take(),
+            ResponseForm::Buffered { .. } => None,
         }
     }
 
     fn respond(&mut self, response: Response<ResponseBody>) {
         if let Some(reply) = self.reply.take() {
-            // A caller that is gone needs no response.
+            // A caller that disconnected needs no response.
             let _gone = reply.send(response);
         }
     }
 
     fn send_event(&mut self, data: &str) {
-        if let Form::Stream { limit, outbox: slot @ None } = &mut self.form {
+        if let ResponseForm::Stream { limit, outbox: slot @ None } = &mut self.form {
             let (outbox, body) = outbox(*limit);
             *slot = Some(outbox);
             self.respond(event_stream(ResponseBody::Streamed(body)));
         }
-        if let Form::Stream { outbox: Some(outbox), .. } = &self.form {
+        if let ResponseForm::Stream { outbox: Some(outbox), .. } = &self.form {
             push_event(outbox, data);
         }
     }
@@ -205,8 +205,8 @@
     }
 }
 
-/// Puts a whole answer together from its chunks.
-fn assemble(interface: Interface, collected: &Collected, text: &str) -> Value {
+/// Assembles a response in one piece from its chunks.
+fn assemble(interface: Interface, collected: &CollectedChunks, text: &str) -> Value {
     let finish = object(collected.finish.as_ref());
     let first = object(collected.first.as_ref().or(collected.finish.as_ref()));
     let usage = object(collected.usage.as_ref().or(collected.finish.as_ref()));
@@ -225,15 +225,15 @@
             ("text_completion", json!({ "index": 0, "text": text, "finish_reason": reason }))
         }
     };
-    let mut whole = Map::new();
-    whole.insert("id".to_owned(), first.get("id").cloned().unwrap_or_default());
-    whole.insert("object".to_owned(), kind.into());
+    let mut response = Map::new();
+    response.insert("id".to_owned(), first.get("id").cloned().unwrap_or_default());
+    response.insert("object".to_owned(), kind.into());
     for name in ["created", "model"] {
-        whole.insert(name.to_owned(), first.get(name).cloned().unwrap_or_default());
+        response.insert(name.to_owned(), first.get(name).cloned().unwrap_or_default());
     }
-    whole.insert("choices".to_owned(), Value::Array(vec![choice]));
+    response.insert("choices".to_owned(), Value::Array(vec![choice]));
     if let Some(usage) = usage.get("usage").filter(|usage| usage.is_object()) {
-        whole.insert("usage".to_owned(), usage.clone());
+        response.insert("usage".to_owned(), usage.clone());
     }
-    Value::Object(whole)
+    Value::Object(response)
 }
--- a/crates/vaneway-server/src/core/callers/api_error.rs
+++ b/crates/vaneway-server/src/core/callers/api_error.rs
@@ -1,4 +1,4 @@
-//! The one form of error that callers see.
+//! The error format of responses to callers.
 
 use std::time::Duration;
 
@@ -16,47 +16,48 @@
 
 use crate::util::body::ResponseBody;
 
-/// Header that says whether the request was run: `not_run`, `ran` or `unknown`.
+/// Header with whether the request was run: `not_run`, `ran` or `unknown`.
 pub const RUN_HEADER: HeaderName = HeaderName::from_static("x-vaneway-run");
 
-/// When a caller that was refused for want of capacity should come back: about the time in which
-/// the requests that keep endpoints full are worked off.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// Delay before a retry that is returned to a caller refused for lack of capacity: about the time
+/// that endpoints need to complete the requests that occupy them.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// When a caller should come back that was refused since no endpoint is known to take work: a pause
-/// after a failure is shorter than this, and endpoints say about every second that they serve.
-const COME_BACK_SOON: Duration = Duration::from_millis(300);
+/// Delay before a retry that is returned to a caller refused because no endpoint is known to accept
+/// requests. The pause after an endpoint's failure is shorter than this, and endpoints send
+/// heartbeats about every second.
+const NO_ENDPOINT_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// An error as a caller sees it.
+/// An error returned to a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ApiError {
     /// HTTP status.
     pub status: StatusCode,
     /// Stable code for programs.
     pub code: &'static str,
-    /// Text for people: what to do.
+    /// Text for people, which says what to do.
     pub message: String,
     /// Whether the request was run.
     pub run: RunState,
-    /// When to come back, where that helps.
+    /// Delay before a retry, where a retry helps.
     pub retry_after: Option<Duration>,
 }
 
 impl ApiError {
-    /// An error about the request itself, which was not run.
+    /// An error in the request itself, which was not run.
     pub fn rejected(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         Self { status, code, message: message.into(), run: RunState::NotRun, retry_after: None }
     }
 
-    /// A request in a form that can't be served.
+    /// An invalid request.
     pub fn bad_request(message: impl Into<String>) -> Self {
         Self::rejected(StatusCode::BAD_REQUEST, "bad_request", message)
     }
 
-    /// A refusal for now: the request was not run and may be sent again later.
-    pub fn not_now(code: &'static str, message: impl Into<String>) -> Self {
+    /// A temporary refusal: the request was not run and may be sent again later.
+    pub fn temporarily_refused(code: &'static str, message: impl Into<String>) -> Self {
         let mut error = Self::rejected(StatusCode::SERVICE_UNAVAILABLE, code, message);
-        error.retry_after = Some(COME_BACK);
+        error.retry_after = Some(RETRY_DELAY);
         error
     }
 
@@ -64,44 +65,47 @@
     pub fn failed(failure: Failure) -> Self {
         let (status, message) = match failure.kind {
             FailureKind::NoEndpoint => {
-                (StatusCode::SERVICE_UNAVAILABLE, "no endpoint of the service takes work now")
+                (StatusCode::SERVICE_UNAVAILABLE, "no endpoint of the service accepts requests now")
             }
             FailureKind::Overloaded => (
                 StatusCode::SERVICE_UNAVAILABLE,
-                "every endpoint of the service is full, or has got as much as it takes now",
+                "every endpoint of the service is full or at its rate limit",
             ),
             FailureKind::DeadlineExceeded => {
-                (StatusCode::GATEWAY_TIMEOUT, "the service's deadline passed")
+                (StatusCode::GATEWAY_TIMEOUT, "the request was not completed before its deadline")
             }
             FailureKind::AttemptsExhausted => {
-                (StatusCode::BAD_GATEWAY, "attempts failed and no more are allowed")
+                (StatusCode::BAD_GATEWAY, "all attempts failed, and no more are allowed")
             }
             FailureKind::OutcomeUnknown => (
                 StatusCode::BAD_GATEWAY,
-                "the call was sent and its answer was lost; it may not be repeated, so find out \
+                "the call was sent and its response was lost; it may not be repeated, so check \
                  whether it took effect before sending another",
             ),
             FailureKind::CrashesEndpoints => (
                 StatusCode::UNPROCESSABLE_ENTITY,
-                "endpoints that ran this request ended under it, so it is run no more; send it in another \
-                 form, or ask an operator to release it",
+                "endpoints crashed while running this request, so it is not run again; change it, or \
+                 ask an operator to release it",
             ),
         };
         let is_final =
             matches!(failure.kind, FailureKind::OutcomeUnknown | FailureKind::CrashesEndpoints);
-        let again = failure.run == RunState::NotRun && !is_final;
-        let after =
-            if failure.kind == FailureKind::NoEndpoint { COME_BACK_SOON } else { COME_BACK };
+        let may_retry = failure.run == RunState::NotRun && !is_final;
+        let after = if failure.kind == FailureKind::NoEndpoint {
+            NO_ENDPOINT_RETRY_DELAY
+        } else {
+            RETRY_DELAY
+        };
         Self {
             status,
             code: failure.kind.code(),
             message: message.to_owned(),
             run: failure.run,
-            retry_after: again.then_some(after),
+            retry_after: may_retry.then_some(after),
         }
     }
 
-    /// The error's JSON text.
+    /// The JSON body of the error.
     pub fn to_json(&self) -> String {
         json!({
             "error": { "code": self.code, "message": self.message, "run": self.run.name() }
@@ -109,7 +113,7 @@
         .to_string()
     }
 
-    /// The error as a response.
+    /// The response with the error.
     pub fn into_response(self) -> Response<ResponseBody> {
         let body = ResponseBody::full(Bytes::from(self.to_json()));
         let mut response = Response::new(body);
--- a/crates/vaneway-server/src/core/callers/front.rs
+++ b/crates/vaneway-server/src/core/callers/front.rs
@@ -1,4 +1,4 @@
-//! The callers' listening address.
+//! The listener for callers.
 
 use std::io;
 use std::rc::Rc;
@@ -15,14 +15,14 @@
 use crate::util::http_server::Handler;
 use crate::util::http_server::HttpServer;
 
-/// What answers callers: the entry, in the callers' protocol.
+/// Handles the requests of callers, in the callers' protocol.
 #[derive(Debug)]
-struct Front<C> {
+struct CallerHandler<C> {
     entry: Rc<Entry>,
     protocol: C,
 }
 
-/// Starts to listen for callers.
+/// Starts listening for callers.
 ///
 /// # Errors
 ///
@@ -30,10 +30,10 @@
 pub fn bind<C: CallerProtocol>(entry: Rc<Entry>, protocol: C) -> io::Result<HttpServer> {
     let timers = entry.timers.clone();
     let listen = entry.settings.listen;
-    http_server::bind(listen, timers, Rc::new(Front { entry, protocol }))
+    http_server::bind(listen, timers, Rc::new(CallerHandler { entry, protocol }))
 }
 
-impl<C: CallerProtocol> Handler for Front<C> {
+impl<C: CallerProtocol> Handler for CallerHandler<C> {
     async fn handle(self: Rc<Self>, req: Request<Incoming>) -> Response<ResponseBody> {
         self.protocol.serve(Rc::clone(&self.entry), req).await
     }
--- a/crates/vaneway-server/src/core/callers/mod.rs
+++ b/crates/vaneway-server/src/core/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Towards callers: protocols, routing by the configuration, errors and bodies.
+//! The callers' side: protocols, routing by the configuration, errors and response bodies.
 
 pub mod answer;
 pub mod api_error;
--- a/crates/vaneway-server/src/core/callers/native.rs
+++ b/crates/vaneway-server/src/core/callers/native.rs
@@ -1,7 +1,7 @@
-//! The product's own interface for callers: paths, organisations and admission.
+//! The product's own HTTP API for callers: paths, authentication and admission.
 //!
-//! Every path ends in one [`Response`]; every refusal is an [`ApiError`], made before anything of
-//! the request was sent to an endpoint.
+//! Every request gets one [`Response`]. Every refusal is an [`ApiError`], returned before any part
+//! of the request is sent to an endpoint.
 
 use std::rc::Rc;
 
@@ -39,10 +39,10 @@
 use crate::util::body::ResponseBody;
 use crate::util::clock;
 
-/// Where paths to plain services begin.
-const SERVICES: &str = "/services/";
+/// Prefix of the paths to plain services.
+const SERVICES_PREFIX: &str = "/services/";
 
-/// The product's own interface for callers.
+/// The product's own HTTP API for callers.
 #[derive(Debug, Clone, Copy)]
 pub struct NativeCallers;
 
@@ -72,15 +72,15 @@
         }
         (&Method::POST, "/v1/chat/completions") => model(entry, req, Interface::Chat).await,
         (&Method::POST, "/v1/completions") => model(entry, req, Interface::Text).await,
-        (_, path) if path.starts_with(SERVICES) => plain(entry, req).await,
+        (_, path) if path.starts_with(SERVICES_PREFIX) => plain(entry, req).await,
         (method, path) => {
-            let known = ["/healthz", "/readyz", "/v1/models"].contains(&path)
+            let is_known = ["/healthz", "/readyz", "/v1/models"].contains(&path)
                 || [Interface::Chat.path(), Interface::Text.path()].contains(&path);
-            Err(if known {
-                let message = format!("{path} does not take {method}");
+            Err(if is_known {
+                let message = format!("{path} does not support {method}");
                 ApiError::rejected(StatusCode::METHOD_NOT_ALLOWED, "wrong_method", message)
             } else {
-                let message = format!("there is nothing at {path}");
+                let message = format!("unknown path {path}");
                 ApiError::rejected(StatusCode::NOT_FOUND, "unknown_path", message)
             })
         }
@@ -110,7 +110,7 @@
     json_response(StatusCode::OK, Bytes::from(list.to_string()))
 }
 
-/// Finds the organisation whose token the request carries.
+/// Finds the organisation by the token in the request.
 fn organisation<'a>(entry: &'a Entry, headers: &HeaderMap) -> Result<&'a Organisation, ApiError> {
     let token = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
     let token = token.and_then(|value| value.strip_prefix("Bearer "));
@@ -120,39 +120,45 @@
     })
 }
 
-/// Refuses new work while the entry stops or is full.
+/// Refuses new requests while this box is stopping or has too many open requests.
 pub(super) fn admit(entry: &Entry) -> Result<(), ApiError> {
     if entry.phase() == Phase::Finishing {
-        return Err(ApiError::not_now("stopping", "this entry box is stopping, use another"));
+        return Err(ApiError::temporarily_refused(
+            "stopping",
+            "this entry box is stopping; use another one",
+        ));
     }
     if entry.open.len() >= entry.settings.limits.open_requests {
-        return Err(ApiError::not_now("overloaded", "this entry box has too many open requests"));
+        return Err(ApiError::temporarily_refused(
+            "overloaded",
+            "this entry box has too many open requests; retry later",
+        ));
     }
     Ok(())
 }
 
-/// Reads a body whole, within the limits of size and time.
+/// Reads a complete body within the limits of size and time.
 pub(super) async fn read_body(
     entry: &Entry,
     body: Incoming,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<Bytes, ApiError> {
     let limits = &entry.settings.limits;
     let too_large = || {
-        let message = format!("the body is larger than {most} bytes");
+        let message = format!("the body is larger than {max_bytes} bytes");
         ApiError::rejected(StatusCode::PAYLOAD_TOO_LARGE, "too_large", message)
     };
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(too_large());
     }
     let until = clock::now() + limits.caller_stall_timeout;
-    let body = Limited::new(body, most).collect();
+    let body = Limited::new(body, max_bytes).collect();
     match entry.timers.timeout_at(until, body).await {
-        // A copy: the original is a slice of the connection's read buffer, which it would keep
+        // Copied, since the original is a slice of the connection's read buffer and would keep that
         // alive for as long as the request is open.
         Some(Ok(body)) => Ok(Bytes::copy_from_slice(&body.to_bytes())),
         Some(Err(error)) if error.is::<http_body_util::LengthLimitError>() => Err(too_large()),
-        Some(Err(_)) => Err(ApiError::bad_request("the body broke off")),
+        Some(Err(_)) => Err(ApiError::bad_request("the body is incomplete or malformed")),
         None => {
             let message = "the body did not arrive in time";
             Err(ApiError::rejected(StatusCode::REQUEST_TIMEOUT, "slow_body", message))
@@ -167,7 +173,7 @@
 ) -> Result<Response<ResponseBody>, ApiError> {
     let organisation = organisation(entry, req.headers())?;
     admit(entry)?;
-    let key = key(req.headers())?;
+    let key = idempotency_key(req.headers())?;
     let body = read_body(entry, req.into_body(), entry.settings.limits.body_bytes).await?;
     let request = model_call::read(entry, interface, body.clone())?;
     let service = &entry.settings.services[request.service];
@@ -176,7 +182,7 @@
         let digest = keyed_call::digest("POST", interface.path(), &body);
         (ClaimKey { organisation: organisation.name.clone(), key }, digest)
     });
-    // The request holds what engines get of it; the caller's form is needed no longer.
+    // The request holds the body to send to engines; the caller's body is no longer needed.
     drop(body);
     let call = model_call::call(Rc::clone(entry), organisation.clone(), request, !non_repeatable);
     at_most_once(entry, claim, call).await
@@ -188,14 +194,14 @@
 ) -> Result<Response<ResponseBody>, ApiError> {
     let organisation = organisation(entry, req.headers())?;
     admit(entry)?;
-    let key = key(req.headers())?;
-    let whole = req.uri().path_and_query().map_or("", |path| path.as_str());
-    let rest = whole.strip_prefix(SERVICES).unwrap_or_default();
-    let (name, path) = match rest.find(['/', '?']) {
-        Some(at) => rest.split_at(at),
-        None => (rest, "/"),
+    let key = idempotency_key(req.headers())?;
+    let full_path = req.uri().path_and_query().map_or("", |path| path.as_str());
+    let name_and_path = full_path.strip_prefix(SERVICES_PREFIX).unwrap_or_default();
+    let (name, path) = match name_and_path.find(['/', '?']) {
+        Some(at) => name_and_path.split_at(at),
+        None => (name_and_path, "/"),
     };
-    let whole_path = whole.to_owned();
+    let digested_path = full_path.to_owned();
     let path = if path.starts_with('/') { path.to_owned() } else { format!("/{path}") };
     let service = entry.settings.service_named(name);
     let service = service.filter(|id| entry.settings.services[*id].kind == ServiceKind::Plain);
@@ -208,15 +214,15 @@
     let non_repeatable = settings.is_non_repeatable(head.method.as_str(), &path);
     let body = read_body(entry, body, entry.settings.limits.body_bytes).await?;
     let claim = key.filter(|_| non_repeatable).map(|key| {
-        let digest = keyed_call::digest(head.method.as_str(), &whole_path, &body);
+        let digest = keyed_call::digest(head.method.as_str(), &digested_path, &body);
         (ClaimKey { organisation: organisation.name.clone(), key }, digest)
     });
     let limits = CallLimits {
         max_attempts: settings.max_attempts,
         deadline: clock::now() + settings.deadline,
         wait_policy: WaitPolicy::AtMost(settings.endpoint_wait_timeout),
-        head_within: settings.stall_timeout,
-        pause_within: settings.stall_timeout,
+        head_timeout: settings.stall_timeout,
+        gap_timeout: settings.stall_timeout,
     };
     let request = CallRequest {
         id: entry.next_request_id(),
@@ -240,7 +246,7 @@
     at_most_once(entry, claim, call).await
 }
 
-/// Runs a call, under a claim if it needs one.
+/// Runs a call, after claiming its key if it has one.
 async fn at_most_once(
     entry: &Rc<Entry>,
     claim: Option<(ClaimKey, Digest)>,
@@ -252,12 +258,12 @@
     }
 }
 
-/// The `Idempotency-Key`, if the caller sent one.
-fn key(headers: &HeaderMap) -> Result<Option<String>, ApiError> {
-    /// Longest key, as other interfaces of this kind allow it.
-    const KEY_BYTES_MOST: usize = 255;
+/// The `Idempotency-Key` header, if the caller sent one.
+fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, ApiError> {
+    /// Maximum length of a key in bytes, as in other APIs of this kind.
+    const MAX_KEY_BYTES: usize = 255;
     let Some(value) = headers.get("idempotency-key") else { return Ok(None) };
-    let key = value.to_str().ok().filter(|key| !key.is_empty() && key.len() <= KEY_BYTES_MOST);
-    let message = format!("`Idempotency-Key` must be 1 to {KEY_BYTES_MOST} visible characters");
+    let key = value.to_str().ok().filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES);
+    let message = format!("`Idempotency-Key` must be 1 to {MAX_KEY_BYTES} visible characters");
     key.map(|key| Some(key.to_owned())).ok_or_else(|| ApiError::bad_request(message))
 }
--- a/crates/vaneway-server/src/core/callers/protocol.rs
+++ b/crates/vaneway-server/src/core/callers/protocol.rs
@@ -1,4 +1,4 @@
-//! What callers speak, and what the product needs to know of a routed request.
+//! Protocols of callers, and the data that a routed request must provide.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 use crate::core::entry::Entry;
 use crate::util::body::ResponseBody;
 
-/// What callers speak.
+/// A protocol spoken by callers.
 pub trait CallerProtocol: 'static {
-    /// Answers one request.
+    /// Handles one request.
     fn serve(
         &self,
         entry: Rc<Entry>,
@@ -25,36 +25,36 @@
     ) -> impl Future<Output = Response<ResponseBody>>;
 }
 
-/// What the head of a routed request says.
+/// Data from the head of a routed request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CallerHead {
-    /// The request's id, given by the caller.
+    /// The request id chosen by the caller.
     pub id: String,
-    /// The host that the caller names.
+    /// The host that the request is addressed to.
     pub host: String,
-    /// The key that the caller holds.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// How long the caller will wait.
+    /// How long the caller waits for the response.
     pub timeout: Option<Duration>,
-    /// The work, if it is for a model.
+    /// The size of the work, if the request is for a model.
     pub work: Option<Work>,
 }
 
 /// A callers' protocol in which requests are routed by the deployment's configuration.
 pub trait RoutedProtocol: 'static {
-    /// What the endpoints behind it speak.
+    /// The protocol of the endpoints.
     type Endpoints: EndpointProtocol;
 
-    /// The endpoints' protocol.
+    /// Returns the protocol of the endpoints.
     fn endpoints(&self) -> Rc<Self::Endpoints>;
 
-    /// Reads what the product needs of a request's head.
+    /// Parses the head of a request.
     ///
     /// # Errors
     ///
-    /// If the head is not in the protocol's form.
+    /// If the head violates the protocol.
     fn read_head(&self, head: &request::Parts) -> Result<CallerHead, ApiError>;
 
-    /// An error in the protocol's form.
+    /// The response with an error, in the protocol's format.
     fn error(&self, error: &ApiError) -> Response<ResponseBody>;
 }
--- a/crates/vaneway-server/src/core/callers/ready.rs
+++ b/crates/vaneway-server/src/core/callers/ready.rs
@@ -1,4 +1,4 @@
-//! The address where balancers ask whether this box is ready.
+//! The address at which load balancers check whether this box is ready.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,34 +19,35 @@
 use crate::util::http_server::Handler;
 use crate::util::http_server::HttpServer;
 
-/// Largest head of a question.
-const HEADER_BYTES: usize = 8 << 10;
+/// Maximum size of a request head, in bytes.
+const MAX_HEADER_BYTES: usize = 8 << 10;
 
-struct Ready(Rc<Entry>);
+struct ReadinessHandler(Rc<Entry>);
 
-/// Starts to answer on `listen`: 200 while the box takes requests, else 503.
+/// Starts listening on `listen`. Responds with 200 while the box accepts requests, else with 503.
 ///
 /// # Errors
 ///
 /// If the address can't be bound.
 pub fn bind(entry: Rc<Entry>, listen: SocketAddr) -> io::Result<HttpServer> {
     let timers = entry.timers.clone();
-    http_server::bind(listen, timers, Rc::new(Ready(entry)))
+    http_server::bind(listen, timers, Rc::new(ReadinessHandler(entry)))
 }
 
-/// Time after a start in which a box waits to hear what the others took of quotas: some tellings. One that
-/// has not heard takes nothing of any quota, and would refuse requests that others can take.
-const QUOTAS_HEARD_WITHIN: Duration = Duration::from_millis(1_500);
+/// Maximum time after its start for which a box waits for the other boxes' use of quotas: several
+/// updates. A box that has received none takes no units of any quota, and would refuse requests
+/// that other boxes can admit.
+const QUOTA_SYNC_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Whether the box takes requests and, where there are control boxes, knows where to send them and what
-/// is left of quotas.
+/// Whether the box accepts requests and, if there are control boxes, has a configuration and knows
+/// the remaining quotas.
 pub fn is_ready(entry: &Entry) -> bool {
     let configured = entry.settings.follow.is_none() || entry.table().is_some();
-    let quotas = entry.quotas.are_synced() || entry.uptime() >= QUOTAS_HEARD_WITHIN;
-    configured && quotas && entry.phase() == Phase::Serving
+    let quotas_known = entry.quotas.are_synced() || entry.uptime() >= QUOTA_SYNC_TIMEOUT;
+    configured && quotas_known && entry.phase() == Phase::Serving
 }
 
-impl Handler for Ready {
+impl Handler for ReadinessHandler {
     async fn handle(self: Rc<Self>, _req: Request<Incoming>) -> Response<ResponseBody> {
         let (status, text) = if is_ready(&self.0) {
             (StatusCode::OK, "ready\n")
@@ -59,6 +60,6 @@
     }
 
     fn limits(&self) -> ConnectionLimits {
-        ConnectionLimits::for_internal_calls(HEADER_BYTES)
+        ConnectionLimits::for_internal_calls(MAX_HEADER_BYTES)
     }
 }
--- a/crates/vaneway-server/src/core/callers/routed.rs
+++ b/crates/vaneway-server/src/core/callers/routed.rs
@@ -1,9 +1,9 @@
 //! Requests that are routed by the deployment's configuration.
 //!
-//! Data flow: the head gives host, path and key; the configuration in force at this box gives the
-//! route and the organisation; the body is read; the organisation's quota is charged; then the
-//! request is a [`CallRequest`] like any other. A refusal before that tells the caller that its
-//! request did not run and when to come back.
+//! Data flow: host, path and key are taken from the head; the configuration in force at this box
+//! determines the route and the organisation; the body is read; the organisation's quota is
+//! charged; then the request is handled as a [`CallRequest`]. An earlier refusal returns an error
+//! with the information that the request was not run, and with a delay before a retry.
 
 use std::ops::Range;
 use std::rc::Rc;
@@ -39,14 +39,15 @@
 use crate::util::hash;
 use crate::util::logline::Line;
 
-/// Least and most of the time to come back that a refused caller is told, so that callers who were
-/// refused together do not return together.
-const COME_BACK_SPREAD: Range<f64> = 0.6..1.4;
+/// Range of the random factor applied to the retry delay of a refused caller, so that callers
+/// refused at the same time don't retry at the same time.
+const RETRY_DELAY_JITTER: Range<f64> = 0.6..1.4;
 
-/// Longest pause between two events of a stream before its endpoint counts as lost, in multiples
-/// of the route's objective for pauses, and at least this long.
-const PAUSES_MOST: u32 = 4;
-const PAUSE_LEAST: Duration = Duration::from_millis(2_500);
+/// Maximum gap between two events of a stream, as a multiple of the route's objective for gaps.
+/// After it the endpoint counts as lost.
+const MAX_GAP_FACTOR: u32 = 4;
+/// Lower bound of that maximum gap.
+const MIN_GAP_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// A callers' protocol whose requests are routed by the configuration.
 #[derive(Debug)]
@@ -55,15 +56,15 @@
 impl<P: RoutedProtocol> CallerProtocol for Routed<P> {
     async fn serve(&self, entry: Rc<Entry>, req: Request<Incoming>) -> Response<ResponseBody> {
         let (parts, body) = req.into_parts();
-        let answer = match self.0.read_head(&parts) {
+        let result = match self.0.read_head(&parts) {
             Ok(head) => serve(&entry, &self.0, &head, Request::from_parts(parts, body)).await,
             Err(error) => Err(refused(&entry, "", error)),
         };
-        answer.unwrap_or_else(|error| self.0.error(&error))
+        result.unwrap_or_else(|error| self.0.error(&error))
     }
 }
 
-/// Logs and counts a request that is refused before it reaches an endpoint.
+/// Logs and counts a request refused before it is sent to an endpoint.
 fn refused(entry: &Entry, id: &str, error: ApiError) -> ApiError {
     entry.metrics.refused.with_label_values(&[error.code]).inc();
     let version = entry.table().map(|table| table.version());
@@ -84,41 +85,42 @@
     req: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, ApiError> {
     let received = clock::now();
-    let (request, limits, units) = match admit(entry, head, req, received).await {
+    let (request, limits, units) = match admit_routed(entry, head, req, received).await {
         Ok(admitted) => admitted,
         Err(error) => return Err(refused(entry, &head.id, error)),
     };
     let organisation = request.organisation.clone();
-    let answer = call::call(Rc::clone(entry), protocol.endpoints(), request, limits).await;
-    answer.map_err(|mut error| {
+    let result = call::call(Rc::clone(entry), protocol.endpoints(), request, limits).await;
+    result.map_err(|mut error| {
         if error.run == RunState::NotRun {
             entry.quotas.give_back(entry.cluster_time(), &organisation, units);
         }
-        error.retry_after = error.retry_after.map(|after| spread(after, &head.id));
+        error.retry_after = error.retry_after.map(|after| jittered(after, &head.id));
         error
     })
 }
 
-/// A time to come back that differs from caller to caller.
-fn spread(after: Duration, id: &str) -> Duration {
-    let part = hash::fraction(id);
-    let Range { start, end } = COME_BACK_SPREAD;
-    after.mul_f64(start + part * (end - start))
+/// A retry delay that differs from request to request.
+fn jittered(after: Duration, id: &str) -> Duration {
+    let fraction = hash::fraction(id);
+    let Range { start, end } = RETRY_DELAY_JITTER;
+    after.mul_f64(start + fraction * (end - start))
 }
 
-/// Checks a request, reads its body and charges its organisation; returns also the units charged.
-async fn admit(
+/// Checks a request, reads its body and charges the quota of its organisation. Also returns the
+/// units charged.
+async fn admit_routed(
     entry: &Rc<Entry>,
     head: &CallerHead,
     req: Request<Incoming>,
     received: Instant,
 ) -> Result<(CallRequest, CallLimits, u64), ApiError> {
     let table = entry.table().ok_or_else(|| {
-        ApiError::not_now("no_configuration", "this entry box has no configuration yet")
+        ApiError::temporarily_refused("no_configuration", "this entry box has no configuration yet")
     })?;
     let (parts, body) = req.into_parts();
     let route = table.route(&head.host, parts.uri.path()).ok_or_else(|| {
-        let message = format!("no route for host `{}` has a prefix of this path", head.host);
+        let message = format!("no route of host `{}` matches this path", head.host);
         ApiError::rejected(StatusCode::NOT_FOUND, "no_route", message)
     })?;
     let organisation = organisation(&table, route, head.key.as_deref())?;
@@ -138,17 +140,17 @@
         path,
         headers: parts.headers,
         body,
-        form: form(route.kind),
+        form: response_form(route.kind),
         repeatable: route.kind.repeatable(),
         priority: organisation.and_then(|o| o.priority).or(Some(route.priority)),
-        prefix: if route.affine { head.work.as_ref().map_or(0, prefix) } else { 0 },
+        prefix: if route.affine { head.work.as_ref().map_or(0, prefix_hash) } else { 0 },
         work: head.work.clone(),
     };
     quarantine::check(entry, &request)?;
     let units = quota_units(organisation, head.work.as_ref());
     let charged = entry.quotas.charge(entry.cluster_time(), &head.id, name, units);
     charged.map_err(|wait| over_quota(name, wait))?;
-    Ok((request, limits(route, head.timeout, received), units))
+    Ok((request, call_limits(route, head.timeout, received), units))
 }
 
 fn organisation<'a>(
@@ -171,7 +173,7 @@
     error
 }
 
-/// What a request counts against its organisation's quota.
+/// Units that a request takes of its organisation's quota.
 fn quota_units(organisation: Option<&OrganisationSpec>, work: Option<&Work>) -> u64 {
     match (organisation.map(|spec| spec.unit), work) {
         (Some(QuotaUnit::Tokens { .. }), Some(work)) => {
@@ -182,26 +184,26 @@
     }
 }
 
-fn form(kind: RequestKind) -> AnswerForm {
+fn response_form(kind: RequestKind) -> AnswerForm {
     match kind {
         RequestKind::Repeatable | RequestKind::AtMostOnce => AnswerForm::Buffered,
         RequestKind::Stream { resumable } => AnswerForm::EventStream { resumable },
     }
 }
 
-fn limits(route: &Route, timeout: Option<Duration>, received: Instant) -> CallLimits {
-    let held = timeout.map_or(route.timeout, |left| left.min(route.timeout));
-    let pause = route.pause_objective.unwrap_or(held) * PAUSES_MOST;
+fn call_limits(route: &Route, timeout: Option<Duration>, received: Instant) -> CallLimits {
+    let remaining = timeout.map_or(route.timeout, |left| left.min(route.timeout));
+    let gap = route.pause_objective.unwrap_or(remaining) * MAX_GAP_FACTOR;
     CallLimits {
         max_attempts: route.max_attempts.max(1),
-        deadline: received + held,
+        deadline: received + remaining,
         wait_policy: WaitPolicy::IfExpectedBy { deadline: received + route.objective },
-        head_within: held,
-        pause_within: pause.max(PAUSE_LEAST),
+        head_timeout: remaining,
+        gap_timeout: gap.max(MIN_GAP_TIMEOUT),
     }
 }
 
-/// Hash of the last part of a prompt that other requests share.
-fn prefix(work: &Work) -> u64 {
+/// Hash of the last prompt part that other requests share; 0 if there is none.
+fn prefix_hash(work: &Work) -> u64 {
     work.shared().last().map_or(0, |part| hash::of(part.id).max(1))
 }
--- a/crates/vaneway-server/src/core/calls/attempt.rs
+++ b/crates/vaneway-server/src/core/calls/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt at an endpoint: the request is sent, the answer's head is judged, and what follows is
-//! handed over piece by piece.
+//! One attempt at an endpoint: sends the request, classifies the response head, and yields the rest
+//! of the response item by item.
 
 use std::future::poll_fn;
 use std::pin::pin;
@@ -20,7 +20,7 @@
 use vaneway_route::UNRESPONSIVE_THRESHOLD;
 
 use crate::core::calls::call_limits::CallLimits;
-use crate::core::calls::events::EventCutter;
+use crate::core::calls::events::EventSplitter;
 use crate::core::calls::events::RawEvent;
 use crate::core::endpoints::link::ConnectionBody;
 use crate::core::endpoints::protocol::CallRequest;
@@ -42,47 +42,47 @@
 use crate::util::outbox::Outbox;
 use crate::util::outbox::outbox;
 
-/// Time between two looks whether an endpoint that owes an answer is out of reach.
-const SILENCE_LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Time between two checks whether an endpoint with an open request is unresponsive.
+const UNRESPONSIVE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What an attempt brings.
+/// An item of an attempt's result.
 pub(super) enum CallItem {
     /// An event stream began.
     Head(response::Parts),
-    /// Its next event.
+    /// The next event of the stream.
     Event(RawEvent),
-    /// An answer to pass on.
-    Answer(Response<ResponseBody>),
-    /// An answer that says that the endpoint failed, to pass on if no other endpoint does better.
+    /// A response to forward.
+    Response(Response<ResponseBody>),
+    /// A response that reports a failure of the endpoint, forwarded if no other attempt succeeds.
     Failed(Response<ResponseBody>),
     /// The attempt ended; nothing follows.
     Ended {
         outcome: Outcome,
         cause: String,
-        /// What was seen of its endpoint with that.
-        seen: Seen,
+        /// What the end of the attempt shows about the endpoint.
+        observation: EndpointObservation,
     },
 }
 
-/// What the end of an attempt shows of its endpoint.
+/// What the end of an attempt shows about its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Seen {
-    /// Nothing more than the outcome.
+pub(super) enum EndpointObservation {
+    /// Nothing beyond the outcome.
     Nothing,
-    /// Another endpoint has the address now.
+    /// Its address belongs to another endpoint now.
     Replaced,
-    /// Nothing listens at its address.
+    /// Nothing listens on its address.
     Down,
-    /// The endpoint has ended while it ran the request.
-    Ended(Progress),
+    /// The endpoint crashed while running the request.
+    Crashed(Progress),
 }
 
 impl CallItem {
     pub(super) fn ended(outcome: Outcome, cause: impl Into<String>) -> Self {
-        Self::Ended { outcome, cause: cause.into(), seen: Seen::Nothing }
+        Self::Ended { outcome, cause: cause.into(), observation: EndpointObservation::Nothing }
     }
 
-    /// An attempt that broke off with its connection.
+    /// The end of an attempt whose connection broke.
     async fn broken(
         entry: &Entry,
         request: &CallRequest,
@@ -91,15 +91,19 @@
         outcome: Outcome,
         cause: impl Into<String>,
     ) -> Self {
-        let ended = outcome == Outcome::Unknown
+        let crashed = outcome == Outcome::Unknown
             && quarantine::endpoint_has_exited(entry, request, endpoint).await;
-        let seen = if ended { Seen::Ended(progress) } else { Seen::Nothing };
-        Self::Ended { outcome, cause: cause.into(), seen }
+        let observation = if crashed {
+            EndpointObservation::Crashed(progress)
+        } else {
+            EndpointObservation::Nothing
+        };
+        Self::Ended { outcome, cause: cause.into(), observation }
     }
 }
 
-/// What one attempt needs.
-pub(super) struct Attempt<E> {
+/// The parameters of one attempt.
+pub(super) struct CallAttempt<E> {
     pub(super) entry: Rc<Entry>,
     pub(super) protocol: Rc<E>,
     pub(super) request: Rc<CallRequest>,
@@ -110,32 +114,33 @@
 }
 
 enum Stage<E> {
-    Sending(Box<Attempt<E>>),
-    Reading(Box<Reading>),
+    Sending(Box<CallAttempt<E>>),
+    Reading(Box<EventStreamReader>),
     Over,
 }
 
 /// An event stream that is being read.
-struct Reading {
+struct EventStreamReader {
     entry: Rc<Entry>,
     request: Rc<CallRequest>,
     endpoint: EndpointId,
     addr: std::net::SocketAddr,
     body: ConnectionBody,
     attempt: vaneway_relay::Attempt,
-    cutter: EventCutter,
+    splitter: EventSplitter,
     limits: CallLimits,
     occupancy: Occupancy,
 }
 
-impl<E: EndpointProtocol> Attempt<E> {
-    /// What it brings, in order. Dropping it closes the connection unless the answer came to its end.
+impl<E: EndpointProtocol> CallAttempt<E> {
+    /// The items of the result, in order. Dropping the stream closes the connection unless the
+    /// response has ended.
     pub(super) fn items(self) -> impl Stream<Item = CallItem> + use<E> {
         unfold(Stage::Sending(Box::new(self)), |stage| async move {
             match stage {
-                // Boxed, so that its memory is free while the answer is read.
+                // Boxed, so that its memory is freed before the response is read.
                 Stage::Sending(sending) => Some(Box::pin(sending.send()).await),
-                Stage::Reading(reading) => Some(next_event(reading).await),
+                Stage::Reading(reader) => Some(next_event(reader).await),
                 Stage::Over => None,
             }
         })
@@ -147,14 +152,18 @@
         let time_left = limits.deadline.saturating_duration_since(clock::now());
         let req = protocol
             .request(&request, Dispatch { endpoint: &spec, time_left, resume_after: after });
-        let head_by = clock::now() + limits.head_within;
-        let fresh = entry.settings.routing.fresh_for_at_most_once && !request.repeatable;
-        let sent = entry.connections.send(&entry.timers, spec.address, req, fresh, head_by);
-        let sent = unless_silent(&entry, endpoint, request.repeatable, sent).await;
+        let head_deadline = clock::now() + limits.head_timeout;
+        let new_connection = entry.settings.routing.fresh_for_at_most_once && !request.repeatable;
+        let sent =
+            entry.connections.send(&entry.timers, spec.address, req, new_connection, head_deadline);
+        let sent = unless_unresponsive(&entry, endpoint, request.repeatable, sent).await;
         let StartedResponse { response, attempt } = match sent {
-            Some(Ok(answered)) => answered,
+            Some(Ok(started)) => started,
             Some(Err(SendError { outcome, cause, is_down: true })) => {
-                return (CallItem::Ended { outcome, cause, seen: Seen::Down }, Stage::Over);
+                return (
+                    CallItem::Ended { outcome, cause, observation: EndpointObservation::Down },
+                    Stage::Over,
+                );
             }
             Some(Err(SendError { outcome, cause, is_down: false })) => {
                 return (
@@ -164,33 +173,34 @@
                 );
             }
             None => {
-                let cause = "other answers of the endpoint or its zone have stopped arriving";
+                let cause =
+                    "responses of the endpoint or its availability zone have stopped arriving";
                 return (CallItem::ended(Outcome::Unknown, cause), Stage::Over);
             }
         };
         let (head, body) = response.into_parts();
-        let verdict = protocol.classify(&request, &head);
-        if !matches!(verdict, ResponseKind::Replaced | ResponseKind::Mismatched) {
-            let heard = LimitObservation {
+        let kind = protocol.classify(&request, &head);
+        if !matches!(kind, ResponseKind::Replaced | ResponseKind::Mismatched) {
+            let limit_observation = LimitObservation {
                 endpoint,
                 request: &request.id,
                 service: &request.service_name,
-                succeeded: verdict == ResponseKind::Answer && head.status.is_success(),
+                succeeded: kind == ResponseKind::Answer && head.status.is_success(),
                 named: protocol.advertised_limit(&head.headers),
             };
-            limits::observe_response(&entry, &heard);
+            limits::observe_response(&entry, &limit_observation);
             if protocol.is_leaving(&head.headers) {
                 registered::mark_leaving(&entry, endpoint, &request.id);
             }
         }
-        let item = match verdict {
+        let item = match kind {
             ResponseKind::Answer => {
                 let streamed = matches!(request.form, AnswerForm::EventStream { .. });
                 if streamed && head.status.is_success() {
-                    let reading = Reading {
+                    let reader = EventStreamReader {
                         endpoint,
                         addr: spec.address,
-                        cutter: EventCutter::default(),
+                        splitter: EventSplitter::default(),
                         limits,
                         occupancy,
                         entry,
@@ -198,14 +208,14 @@
                         body,
                         attempt,
                     };
-                    return (CallItem::Head(head), Stage::Reading(Box::new(reading)));
+                    return (CallItem::Head(head), Stage::Reading(Box::new(reader)));
                 }
                 let response = Response::from_parts(head, body);
                 let failed = response.status().is_server_error() && request.repeatable;
-                let answered = StartedResponse { response, attempt };
-                let read = read_answer(entry, &*protocol, &request, endpoint, answered).await;
+                let started = StartedResponse { response, attempt };
+                let read = read_response(entry, &*protocol, &request, endpoint, started).await;
                 match read {
-                    CallItem::Answer(response) if failed => CallItem::Failed(response),
+                    CallItem::Response(response) if failed => CallItem::Failed(response),
                     item => item,
                 }
             }
@@ -219,24 +229,27 @@
                 };
                 retry_after::apply_refusal(&entry, &refusal);
                 entry.connections.release_refused(&entry.timers, spec.address, body).await;
-                CallItem::ended(Outcome::Refused, "the endpoint did not run it")
+                CallItem::ended(
+                    Outcome::Refused,
+                    "the endpoint refused the request without running it",
+                )
             }
             ResponseKind::Replaced => CallItem::Ended {
                 outcome: Outcome::Refused,
-                cause: "another endpoint has the address".to_owned(),
-                seen: Seen::Replaced,
+                cause: "the address belongs to another endpoint now".to_owned(),
+                observation: EndpointObservation::Replaced,
             },
             ResponseKind::Mismatched => {
-                CallItem::ended(Outcome::Unknown, "the answer belongs to another request")
+                CallItem::ended(Outcome::Unknown, "the response belongs to another request")
             }
         };
         (item, Stage::Over)
     }
 }
 
-/// Waits for `work`, the beginning of an answer; none if meanwhile its endpoint seems to be out of
-/// reach and the request may be sent to another one.
-async fn unless_silent<T>(
+/// Waits for `work`, the beginning of a response. Returns none if meanwhile the endpoint becomes
+/// unresponsive and the request may be sent to another one.
+async fn unless_unresponsive<T>(
     entry: &Entry,
     endpoint: EndpointId,
     repeatable: bool,
@@ -246,80 +259,80 @@
         return Some(work.await);
     }
     let mut work = pin!(work);
-    let mut look_at = clock::now() + UNRESPONSIVE_THRESHOLD;
+    let mut check_at = clock::now() + UNRESPONSIVE_THRESHOLD;
     loop {
-        if let Some(done) = entry.timers.timeout_at(look_at, work.as_mut()).await {
+        if let Some(done) = entry.timers.timeout_at(check_at, work.as_mut()).await {
             return Some(done);
         }
         let now = clock::now();
         if entry.pool.borrow().is_unresponsive(now, endpoint) {
             return None;
         }
-        look_at = now + SILENCE_LOOK_EVERY;
+        check_at = now + UNRESPONSIVE_CHECK_INTERVAL;
     }
 }
 
-async fn next_event<E>(mut reading: Box<Reading>) -> (CallItem, Stage<E>) {
-    let broken = loop {
-        if let Some(event) = reading.cutter.next_event() {
-            reading.occupancy.record_chunk();
-            return (CallItem::Event(event), Stage::Reading(reading));
+async fn next_event<E>(mut reader: Box<EventStreamReader>) -> (CallItem, Stage<E>) {
+    let cause = loop {
+        if let Some(event) = reader.splitter.next_event() {
+            reader.occupancy.record_chunk();
+            return (CallItem::Event(event), Stage::Reading(reader));
         }
-        let limits = &reading.limits;
-        let within =
-            if reading.occupancy.is_arriving() { limits.pause_within } else { limits.head_within };
-        let until = clock::now() + within;
-        let timers = reading.entry.timers.clone();
-        match timers.timeout_at(until, reading.body.data()).await {
-            Some(Some(Ok(data))) => reading.cutter.push(&data),
-            Some(None) => return end_of_stream(reading),
+        let limits = &reader.limits;
+        let timeout =
+            if reader.occupancy.is_arriving() { limits.gap_timeout } else { limits.head_timeout };
+        let until = clock::now() + timeout;
+        let timers = reader.entry.timers.clone();
+        match timers.timeout_at(until, reader.body.data()).await {
+            Some(Some(Ok(data))) => reader.splitter.push(&data),
+            Some(None) => return end_of_stream(reader),
             Some(Some(Err(error))) => break error.to_string(),
-            None => break "the endpoint was silent for too long".to_owned(),
+            None => break "the endpoint sent nothing for too long".to_owned(),
         }
     };
-    let outcome = reading.attempt.handle(AttemptEvent::Broken).unwrap_or(Outcome::Unknown);
+    let outcome = reader.attempt.handle(AttemptEvent::Broken).unwrap_or(Outcome::Unknown);
     let progress =
-        if reading.occupancy.is_arriving() { Progress::Answering } else { Progress::Reading };
-    let Reading { entry, request, endpoint, .. } = &*reading;
-    let item = CallItem::broken(entry, request, *endpoint, progress, outcome, broken).await;
+        if reader.occupancy.is_arriving() { Progress::Answering } else { Progress::Reading };
+    let EventStreamReader { entry, request, endpoint, .. } = &*reader;
+    let item = CallItem::broken(entry, request, *endpoint, progress, outcome, cause).await;
     (item, Stage::Over)
 }
 
-fn end_of_stream<E>(mut reading: Box<Reading>) -> (CallItem, Stage<E>) {
-    let rest = std::mem::take(&mut reading.cutter).rest();
-    if !rest.is_empty() {
-        let event = RawEvent { number: None, bytes: rest };
-        return (CallItem::Event(event), Stage::Reading(reading));
+fn end_of_stream<E>(mut reader: Box<EventStreamReader>) -> (CallItem, Stage<E>) {
+    let remainder = std::mem::take(&mut reader.splitter).into_remainder();
+    if !remainder.is_empty() {
+        let event = RawEvent { number: None, bytes: remainder };
+        return (CallItem::Event(event), Stage::Reading(reader));
     }
-    let Reading { entry, addr, body, mut attempt, mut occupancy, .. } = *reading;
+    let EventStreamReader { entry, addr, body, mut attempt, mut occupancy, .. } = *reader;
     occupancy.mark_complete();
     let outcome = attempt.handle(AttemptEvent::End).unwrap_or(Outcome::Done);
     entry.connections.release(addr, body);
     (CallItem::ended(outcome, ""), Stage::Over)
 }
 
-/// Reads an answer whole, or up to the limit and passes the rest on as it comes.
-async fn read_answer<E: EndpointProtocol>(
+/// Reads a complete response if it fits into the limit; otherwise forwards its rest as it arrives.
+async fn read_response<E: EndpointProtocol>(
     entry: Rc<Entry>,
     protocol: &E,
     request: &CallRequest,
     endpoint: EndpointId,
-    answered: StartedResponse,
+    started: StartedResponse,
 ) -> CallItem {
     let addr = entry.address(endpoint);
-    let StartedResponse { response, mut attempt } = answered;
+    let StartedResponse { response, mut attempt } = started;
     let (mut head, mut body) = response.into_parts();
-    let mut held = BytesMut::new();
-    match body.read_into(&mut held, entry.settings.limits.answer_bytes).await {
-        Ok(whole) => {
+    let mut buffered = BytesMut::new();
+    match body.read_into(&mut buffered, entry.settings.limits.answer_bytes).await {
+        Ok(is_complete) => {
             protocol.prepare_headers(&mut head.headers);
-            let body = if whole {
+            let body = if is_complete {
                 entry.connections.release(addr, body);
-                ResponseBody::full(held.freeze())
+                ResponseBody::full(buffered.freeze())
             } else {
-                pass_on(entry, addr, &held, body)
+                forward_rest(entry, addr, &buffered, body)
             };
-            CallItem::Answer(Response::from_parts(head, body))
+            CallItem::Response(Response::from_parts(head, body))
         }
         Err(error) => {
             let outcome = attempt.handle(AttemptEvent::Broken).unwrap_or(Outcome::Unknown);
@@ -329,17 +342,17 @@
     }
 }
 
-/// Passes the rest of a long answer on as the caller takes it.
-fn pass_on(
+/// Forwards the rest of a long response at the speed of the caller.
+fn forward_rest(
     entry: Rc<Entry>,
     addr: std::net::SocketAddr,
-    held: &[u8],
+    buffered: &[u8],
     mut body: ConnectionBody,
 ) -> ResponseBody {
     let (tx, rx) = outbox(entry.settings.limits.stream_bytes);
-    tx.push(held);
+    tx.push(buffered);
     compio::runtime::spawn(async move {
-        if feed(&entry, &tx, &mut body).await {
+        if copy_body(&entry, &tx, &mut body).await {
             tx.finish();
             entry.connections.release(addr, body);
         }
@@ -348,15 +361,15 @@
     ResponseBody::Streamed(rx)
 }
 
-/// Moves a body into an outbox; true if all of it arrived.
-async fn feed(entry: &Entry, tx: &Outbox, body: &mut ConnectionBody) -> bool {
+/// Copies a body into an outbox. Returns whether it arrived completely.
+async fn copy_body(entry: &Entry, tx: &Outbox, body: &mut ConnectionBody) -> bool {
     loop {
         let until = clock::now() + entry.settings.limits.caller_stall_timeout;
-        let room = poll_fn(|cx| match tx.poll_closed(cx) {
+        let capacity = poll_fn(|cx| match tx.poll_closed(cx) {
             Poll::Ready(()) => Poll::Ready(false),
             Poll::Pending => tx.poll_capacity(cx).map(|()| true),
         });
-        if entry.timers.timeout_at(until, room).await != Some(true) {
+        if entry.timers.timeout_at(until, capacity).await != Some(true) {
             return false;
         }
         match entry.timers.timeout_at(until, body.data()).await {
--- a/crates/vaneway-server/src/core/calls/call_events.rs
+++ b/crates/vaneway-server/src/core/calls/call_events.rs
@@ -1,5 +1,5 @@
-//! The events of one open request that come from this box itself: answers to the relay's own
-//! actions, signals about endpoints, the wake-up it asked for and the deadline.
+//! The events of one open request that originate at this box: replies to the relay's own actions,
+//! signals about endpoints, the wake-up that it requested, and the deadline.
 
 use std::collections::VecDeque;
 use std::task::Context;
@@ -10,45 +10,45 @@
 use vaneway_relay::Event;
 use vaneway_relay::Failure;
 
-use crate::core::calls::open_requests::OpenGuard;
+use crate::core::calls::open_requests::OpenRequestGuard;
 use crate::util::logline::Line;
 use crate::util::timers::Sleep;
 use crate::util::timers::Timers;
 
-/// Sources of events, in the order in which they are asked.
+/// The sources of events, in the order in which they are polled.
 #[derive(Debug)]
 pub struct CallEvents {
-    /// The request in the table of open ones.
-    pub open: OpenGuard,
+    /// The request's entry in the table of open requests.
+    pub open: OpenRequestGuard,
     timers: Timers,
-    todo: VecDeque<Event>,
+    queued: VecDeque<Event>,
     wake: Option<Sleep>,
     deadline: Sleep,
 }
 
 impl CallEvents {
     /// The events of a request that begins now and ends at `deadline`.
-    pub fn new(open: OpenGuard, timers: &Timers, deadline: Instant) -> Self {
+    pub fn new(open: OpenRequestGuard, timers: &Timers, deadline: Instant) -> Self {
         Self {
             open,
             timers: timers.clone(),
-            todo: VecDeque::from([Event::Begin]),
+            queued: VecDeque::from([Event::Begin]),
             wake: None,
             deadline: timers.sleep_until(deadline),
         }
     }
 
-    /// Adds an event that comes before all others.
+    /// Queues an event; queued events precede those of all other sources.
     pub fn push(&mut self, event: Event) {
-        self.todo.push_back(event);
+        self.queued.push_back(event);
     }
 
-    /// Asks for [`Event::Woken`] at `at`, in place of an earlier wish.
+    /// Requests [`Event::Woken`] at `at`, replacing an earlier request.
     pub fn wake_at(&mut self, at: Instant) {
         self.wake = Some(self.timers.sleep_until(at));
     }
 
-    /// Logs what the caller is told of a request that failed.
+    /// Logs the failure that is returned to the caller.
     pub fn log_failure(&self, id: &str, failure: Failure, attempts: u32) {
         let open = self.open.request();
         Line::new("request_failed")
@@ -61,9 +61,9 @@
             .warn();
     }
 
-    /// The next event.
+    /// Polls for the next event.
     pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Event> {
-        if let Some(event) = self.todo.pop_front() {
+        if let Some(event) = self.queued.pop_front() {
             return Poll::Ready(event);
         }
         if let Poll::Ready(event) = self.open.request().poll_signal(cx) {
--- a/crates/vaneway-server/src/core/calls/call_limits.rs
+++ b/crates/vaneway-server/src/core/calls/call_limits.rs
@@ -1,4 +1,4 @@
-//! What bounds one call.
+//! Limits of one call.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,14 +8,14 @@
 /// Limits of one call.
 #[derive(Debug, Clone, Copy)]
 pub struct CallLimits {
-    /// Most endpoints that it may reach.
+    /// Maximum number of attempts that reach an endpoint.
     pub max_attempts: u32,
-    /// When the caller is given up.
+    /// When the call fails if it isn't complete.
     pub deadline: Instant,
     /// When it waits for an endpoint.
     pub wait_policy: WaitPolicy,
-    /// Longest wait for an answer to begin, and for the first event of a stream.
-    pub head_within: Duration,
-    /// Longest pause between two events of a stream.
-    pub pause_within: Duration,
+    /// Maximum wait for a response to begin, and for the first event of a stream.
+    pub head_timeout: Duration,
+    /// Maximum gap between two events of a stream.
+    pub gap_timeout: Duration,
 }
--- a/crates/vaneway-server/src/core/calls/claims.rs
+++ b/crates/vaneway-server/src/core/calls/claims.rs
@@ -1,12 +1,12 @@
-//! The durable ledger of claims of this box.
+//! The durable claim ledger of this box.
 //!
-//! Data flow: a command is queued; one task takes all that are queued, appends them to the log in
-//! one write, syncs once, applies them in order and answers everyone. Nothing is applied before
-//! it is synced, so whatever a caller was told survives a crash. If a write or sync fails, the
-//! ledger closes for good: nobody can say what reached the disk, so every later claim is refused
-//! as not run until the process is started anew and has read what is there.
+//! Data flow: commands are queued. One task takes all queued commands, appends them to the log in
+//! one write, syncs once, applies them in order and replies to their proposers. Nothing is applied
+//! before it is synced, so that everything reported to a caller survives a crash. If a write or
+//! sync fails, the ledger is closed permanently: it can't be known what reached the disk, so that
+//! every later claim is refused as not run until the process has restarted and read the files.
 //!
-//! Files, under the data folder: `claims.lock`, held while the process runs; `claims.snapshot`, one
+//! Files in the data folder: `claims.lock`, held while the process runs; `claims.snapshot`, one
 //! record with a generation and a ledger; `claims.N.log`, the commands since the snapshot of
 //! generation N.
 
@@ -42,17 +42,17 @@
 use crate::util::durable_file;
 use crate::util::logline::Line;
 
-/// The ledger can't be written any more.
+/// The error of a ledger that was closed because a write failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Closed;
+pub struct LedgerClosed;
 
-impl std::fmt::Display for Closed {
+impl std::fmt::Display for LedgerClosed {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the ledger of claims could not be written and is closed")
+        f.write_str("the claim ledger is closed because a write failed")
     }
 }
 
-impl std::error::Error for Closed {}
+impl std::error::Error for LedgerClosed {}
 
 #[derive(Debug)]
 struct Proposal {
@@ -63,14 +63,14 @@
 #[derive(Debug)]
 struct Shared {
     ledger: RefCell<Ledger>,
-    /// Callers that wait for a call that is under way at this box.
+    /// Callers that wait for a running call of this box with the same key.
     waiting: RefCell<BTreeMap<ClaimKey, Vec<oneshot::Sender<()>>>>,
-    /// Calls whose claim this box holds.
+    /// Number of running calls whose claim this box holds.
     running_calls: Cell<usize>,
     closed: Cell<bool>,
 }
 
-/// The ledger, open for claims; clones share it.
+/// Handle of the ledger; clones share it.
 #[derive(Debug, Clone)]
 pub struct Claims {
     shared: Rc<Shared>,
@@ -79,7 +79,7 @@
     retention: Duration,
 }
 
-/// The log file and where the next record goes.
+/// The log file, and the offset of the next record.
 #[derive(Debug)]
 struct LogFile {
     folder: PathBuf,
@@ -98,16 +98,16 @@
     folder.join("claims.snapshot")
 }
 
-/// Opens the ledger under `folder`. `holder` must differ from that of every earlier process on
-/// this folder; claims that those left running end as unknown.
+/// Opens the ledger in `folder`. `holder` must differ from that of every earlier process that used
+/// this folder. The outcome of calls that earlier processes left running becomes unknown.
 ///
 /// # Errors
 ///
 /// If another process uses the folder, a file can't be read or written, or a record is damaged.
 pub async fn open(folder: &Path, holder: Holder, settings: &ClaimSettings) -> eyre::Result<Claims> {
-    let context = || format!("failed to open the ledger of claims in `{}`", folder.display());
+    let context = || format!("failed to open the claim ledger in `{}`", folder.display());
     let (ledger, log) = load(folder).await.wrap_err_with(context)?;
-    // Each proposal's call waits for it, so there are no more of them than open calls.
+    // Each call waits for its proposal, so that there are no more proposals than open calls.
     let (tx, rx) = mpsc::unbounded();
     let shared = Rc::new(Shared {
         ledger: RefCell::new(ledger),
@@ -115,7 +115,7 @@
         running_calls: Cell::new(0),
         closed: Cell::new(false),
     });
-    compio::runtime::spawn(write_forever(Rc::clone(&shared), log, settings.snapshot_bytes, rx))
+    compio::runtime::spawn(run_writer(Rc::clone(&shared), log, settings.snapshot_bytes, rx))
         .detach();
     let retention = settings.retention;
     let claims = Claims { shared, proposals: tx, holder, retention };
@@ -155,7 +155,7 @@
     Ok((ledger, LogFile { folder: folder.to_owned(), file, generation, end, _lock: lock }))
 }
 
-/// The generation and ledger of a snapshot; those of the beginning if there is none.
+/// The generation and ledger of a snapshot; generation 0 and an empty ledger if there is none.
 fn load_snapshot(path: &Path) -> eyre::Result<(u64, Ledger)> {
     let context = || format!("failed to read `{}`", path.display());
     let bytes = durable_file::read(path).wrap_err_with(context)?.unwrap_or_default();
@@ -164,8 +164,12 @@
     }
     let recovered = vaneway_log::recover(&bytes).wrap_err_with(context)?;
     let [generation, ledger] = recovered.records[..] else {
-        // It was synced before it got its name, so a part of it is damage and not a torn write.
-        bail!("`{}` is damaged: it holds {} records", path.display(), recovered.records.len());
+        // It was synced before it was renamed, so a missing part is damage and not a torn write.
+        bail!(
+            "`{}` is damaged: it has {} records, expected 2",
+            path.display(),
+            recovered.records.len()
+        );
     };
     let generation = generation.try_into().wrap_err_with(context)?;
     Ok((u64::from_le_bytes(generation), Ledger::decode(ledger).wrap_err_with(context)?))
@@ -175,7 +179,7 @@
     compio::fs::OpenOptions::new().write(true).open(path).await
 }
 
-async fn write_forever(
+async fn run_writer(
     shared: Rc<Shared>,
     mut log: LogFile,
     snapshot_bytes: u64,
@@ -186,7 +190,7 @@
         while let Ok(more) = rx.try_recv() {
             batch.push(more);
         }
-        if let Err(error) = write(&mut log, &batch).await {
+        if let Err(error) = append_batch(&mut log, &batch).await {
             shared.closed.set(true);
             Line::new("claims_closed").with("error", error).error();
             return;
@@ -204,7 +208,7 @@
     }
 }
 
-async fn write(log: &mut LogFile, batch: &[Proposal]) -> io::Result<()> {
+async fn append_batch(log: &mut LogFile, batch: &[Proposal]) -> io::Result<()> {
     let mut bytes = Vec::new();
     for proposal in batch {
         vaneway_log::append(&mut bytes, &proposal.command.encode());
@@ -225,16 +229,16 @@
         Command::Claim(_) | Command::OnlyHolder { .. } | Command::Expire { .. } => None,
     };
     let applied = shared.ledger.borrow_mut().apply(command);
-    // Whoever asked may be gone.
+    // The proposer may be gone.
     let _gone = reply.send(applied);
     if let Some(key) = ended {
-        // Dropping the senders wakes those that wait.
+        // Dropping the senders wakes the waiting callers.
         shared.waiting.borrow_mut().remove(&key);
     }
 }
 
-/// Writes a snapshot and starts an empty log behind it. Rare and short enough to be done in
-/// place: a day of claims is a few megabytes.
+/// Writes a snapshot and starts an empty log after it. Rare and short enough to be done by the
+/// writing task: a day of claims is a few megabytes.
 async fn compact(shared: &Shared, log: &mut LogFile) -> io::Result<()> {
     let generation = log.generation + 1;
     let path = log_path(&log.folder, generation);
@@ -249,7 +253,7 @@
     log.generation = generation;
     log.end = 0;
     Line::new("snapshot").with("generation", generation).with("bytes", count).info();
-    // A log that stays behind is never read again.
+    // If the old log can't be removed, it is never read again.
     if let Err(error) = std::fs::remove_file(&old) {
         log::warn!("event=old_log_stays file={} error={error:?}", old.display());
     }
@@ -257,26 +261,26 @@
 }
 
 impl Claims {
-    async fn propose(&self, command: Command) -> Result<Reply, Closed> {
+    async fn propose(&self, command: Command) -> Result<Reply, LedgerClosed> {
         if self.shared.closed.get() {
-            return Err(Closed);
+            return Err(LedgerClosed);
         }
         let (tx, rx) = oneshot::channel();
         let proposal = Proposal { command, reply: tx };
-        self.proposals.unbounded_send(proposal).map_err(|_writer_gone| Closed)?;
-        rx.await.map_err(|_writer_gone| Closed)
+        self.proposals.unbounded_send(proposal).map_err(|_writer_gone| LedgerClosed)?;
+        rx.await.map_err(|_writer_gone| LedgerClosed)
     }
 
-    /// Claims a key, and waits while a call with it is under way at this box.
+    /// Claims a key, and waits while a call with the same key is running at this box.
     ///
     /// # Errors
     ///
     /// If the ledger is closed: the call must not be sent.
-    pub async fn claim(&self, key: &ClaimKey, digest: Digest) -> Result<Reply, Closed> {
+    pub async fn claim(&self, key: &ClaimKey, digest: Digest) -> Result<Reply, LedgerClosed> {
         loop {
             let known = self.shared.ledger.borrow().lookup(key, &digest);
             match known {
-                Some(Reply::Running) => self.wait_for_end(key).await,
+                Some(Reply::Running) => self.wait_until_ended(key).await,
                 Some(reply) => return Ok(reply),
                 None => {
                     let at_ms = clock::since_epoch().as_millis() as u64;
@@ -292,40 +296,40 @@
                 }
             }
             if self.shared.closed.get() {
-                return Err(Closed);
+                return Err(LedgerClosed);
             }
         }
     }
 
-    async fn wait_for_end(&self, key: &ClaimKey) {
+    async fn wait_until_ended(&self, key: &ClaimKey) {
         let (tx, rx) = oneshot::channel();
         self.shared.waiting.borrow_mut().entry(key.clone()).or_default().push(tx);
-        // Ends by the drop of its other side.
+        // Ends when the sender is dropped.
         let _ended = rx.await;
     }
 
-    /// Ends a call whose claim was granted.
+    /// Records the outcome of a call whose claim was granted.
     ///
     /// # Errors
     ///
-    /// If the ledger is closed; the call then ends as unknown at the next start.
-    pub async fn end(&self, key: ClaimKey, end: ClaimEnd) -> Result<(), Closed> {
-        let command = match end {
-            ClaimEnd::Answered(answer) => Command::Answer { key, answer },
-            ClaimEnd::Unknown => Command::Unknown { key },
-            ClaimEnd::NotRun => Command::Release { key, holder: self.holder },
+    /// If the ledger is closed; the outcome then becomes unknown at the next start.
+    pub async fn finish(&self, key: ClaimKey, outcome: ClaimOutcome) -> Result<(), LedgerClosed> {
+        let command = match outcome {
+            ClaimOutcome::Answered(answer) => Command::Answer { key, answer },
+            ClaimOutcome::Unknown => Command::Unknown { key },
+            ClaimOutcome::NotRun => Command::Release { key, holder: self.holder },
         };
         let ended = self.propose(command).await;
         self.shared.running_calls.update(|held| held - 1);
         ended.map(|_applied| ())
     }
 
-    /// Forgets what is older than the retention.
+    /// Removes claims older than the retention time.
     ///
     /// # Errors
     ///
     /// If the ledger is closed.
-    pub async fn expire(&self) -> Result<(), Closed> {
+    pub async fn expire(&self) -> Result<(), LedgerClosed> {
         let now = clock::since_epoch();
         let before_ms = now.saturating_sub(self.retention).as_millis() as u64;
         let due = self.shared.ledger.borrow().oldest_ms().is_some_and(|at| at < before_ms);
@@ -335,12 +339,12 @@
         Ok(())
     }
 
-    /// Calls under way whose claim this box holds.
+    /// Number of running calls whose claim this box holds.
     pub fn running_calls(&self) -> usize {
         self.shared.running_calls.get()
     }
 
-    /// Keys in the ledger.
+    /// Number of keys in the ledger.
     pub fn key_count(&self) -> usize {
         self.shared.ledger.borrow().len()
     }
@@ -351,12 +355,12 @@
     }
 }
 
-/// How a call ended whose claim was granted.
+/// Outcome of a call whose claim was granted.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimEnd {
-    /// It ran, and this was its answer.
+pub enum ClaimOutcome {
+    /// It ran, and this was its response.
     Answered(StoredResponse),
-    /// Nobody knows whether it ran.
+    /// It can't be known whether it ran.
     Unknown,
     /// It was certainly not run.
     NotRun,
--- a/crates/vaneway-server/src/core/calls/keyed_call.rs
+++ b/crates/vaneway-server/src/core/calls/keyed_call.rs
@@ -1,9 +1,9 @@
 //! A call that may not be repeated and carries an `Idempotency-Key`.
 //!
-//! Data flow: the key is claimed, durably, before anything is sent. The call then runs in a task
-//! of its own, so that a caller that goes away does not leave its outcome unknown. The answer is
-//! kept before the caller gets it (a stream: while the caller gets it), and a repeat gets what
-//! was kept.
+//! Data flow: the key is claimed durably before anything is sent. The call then runs in a task of
+//! its own, so that its outcome becomes known even if the caller disconnects. The response is
+//! stored before it is sent to the caller (a stream: while it is sent), and a repeated call gets
+//! the stored response.
 
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -28,7 +28,7 @@
 
 use crate::core::callers::api_error::ApiError;
 use crate::core::callers::api_error::RUN_HEADER;
-use crate::core::calls::claims::ClaimEnd;
+use crate::core::calls::claims::ClaimOutcome;
 use crate::core::calls::claims::Claims;
 use crate::core::entry::Entry;
 use crate::util::body::ResponseBody;
@@ -37,7 +37,7 @@
 use crate::util::outbox::OutboxBody;
 use crate::util::outbox::outbox;
 
-/// Digest of what makes two requests the same.
+/// Digest of method, path and body, by which two requests count as the same.
 pub fn digest(method: &str, path: &str, body: &[u8]) -> Digest {
     let mut hasher = Sha256::new();
     for part in [method.as_bytes(), path.as_bytes(), body] {
@@ -47,7 +47,7 @@
     hasher.finalize().into()
 }
 
-/// Runs `call` if the key can be claimed; otherwise answers as the first call was answered.
+/// Runs `call` if the key can be claimed; otherwise returns the response to the first call.
 ///
 /// # Errors
 ///
@@ -58,34 +58,34 @@
     digest: Digest,
     call: impl Future<Output = Response<ResponseBody>> + 'static,
 ) -> Result<Response<ResponseBody>, ApiError> {
-    let Some(claims) = entry.claims.clone() else { return Err(unavailable(&entry)) };
-    let closed = |closed: crate::core::calls::claims::Closed| {
-        ApiError::not_now("claims_unavailable", closed.to_string())
+    let Some(claims) = entry.claims.clone() else { return Err(no_ledger(&entry)) };
+    let closed = |closed: crate::core::calls::claims::LedgerClosed| {
+        ApiError::temporarily_refused("claims_unavailable", closed.to_string())
     };
     match claims.claim(&key, digest).await.map_err(closed)? {
         Reply::Granted => Ok(run(entry, claims, key, call).await),
-        Reply::Answered(answer) => Ok(replay(answer)),
+        Reply::Answered(response) => Ok(replay(response)),
         Reply::OtherRequest => {
             let message = "this `Idempotency-Key` was used for another request, use a new one";
             Err(ApiError::rejected(StatusCode::UNPROCESSABLE_ENTITY, "key_reused", message))
         }
-        Reply::Unknown | Reply::Running | Reply::Applied => Err(unknown()),
+        Reply::Unknown | Reply::Running | Reply::Applied => Err(outcome_unknown()),
     }
 }
 
-/// Refuses keyed calls where claims can't be kept.
-fn unavailable(entry: &Entry) -> ApiError {
+/// The error for keyed calls if this box has no claim ledger.
+fn no_ledger(entry: &Entry) -> ApiError {
     let message = if entry.settings.peers.is_empty() {
         "calls with `Idempotency-Key` that may not be repeated need a `data_folder` in the settings"
     } else {
-        "calls with `Idempotency-Key` that may not be repeated are not served by a deployment of \
-         several entry boxes yet"
+        "calls with `Idempotency-Key` that may not be repeated are not supported yet in a \
+         deployment with several entry boxes"
     };
     ApiError::rejected(StatusCode::SERVICE_UNAVAILABLE, "claims_unavailable", message)
 }
 
-fn unknown() -> ApiError {
-    let message = "the first call with this key was sent and its answer was lost; find out whether \
+fn outcome_unknown() -> ApiError {
+    let message = "the first call with this key was sent and its response was lost; check whether \
                    it took effect before sending another with a new key";
     let mut error = ApiError::rejected(StatusCode::BAD_GATEWAY, "outcome_unknown", message);
     error.run = RunState::Unknown;
@@ -101,14 +101,14 @@
     let (tx, rx) = oneshot::channel();
     compio::runtime::spawn(async move {
         let response = call.await;
-        keep(&entry, &claims, key, response, tx).await;
+        store_response(&entry, &claims, key, response, tx).await;
     })
     .detach();
-    rx.await.unwrap_or_else(|_task_ended| unknown().into_response())
+    rx.await.unwrap_or_else(|_task_ended| outcome_unknown().into_response())
 }
 
-/// Keeps the answer and gives it to the caller.
-async fn keep(
+/// Stores the response and sends it to the caller.
+async fn store_response(
     entry: &Entry,
     claims: &Claims,
     key: ClaimKey,
@@ -121,90 +121,90 @@
     let kind = head.headers.get(CONTENT_TYPE).and_then(|kind| kind.to_str().ok());
     let content_type = kind.map(str::to_owned);
     let status = head.status.as_u16();
-    let answered = |body| ClaimEnd::Answered(StoredResponse { status, content_type, body });
+    let store = |body| ClaimOutcome::Answered(StoredResponse { status, content_type, body });
     match body {
         ResponseBody::Full(full) => {
             let body = full.collect().await.map(http_body_util::Collected::to_bytes);
             let body = body.unwrap_or_else(|never| match never {});
-            let end = match run.as_deref() {
-                Some("not_run") => ClaimEnd::NotRun,
-                Some("unknown") => ClaimEnd::Unknown,
-                _ => answered(Some(body.to_vec())),
+            let outcome = match run.as_deref() {
+                Some("not_run") => ClaimOutcome::NotRun,
+                Some("unknown") => ClaimOutcome::Unknown,
+                _ => store(Some(body.to_vec())),
             };
-            end_claim(claims, key, end).await;
-            // The caller may be gone; a repeat finds what was kept.
+            finish_claim(claims, key, outcome).await;
+            // The caller may have disconnected; a repeated call gets the stored response.
             let _gone = reply.send(Response::from_parts(head, ResponseBody::full(body)));
         }
-        ResponseBody::Streamed(fed) => {
+        ResponseBody::Streamed(streamed) => {
             let limits = &entry.settings.limits;
             let (tx, rx) = outbox(limits.stream_bytes);
             let _gone = reply.send(Response::from_parts(head, ResponseBody::Streamed(rx)));
-            let end = match copy(fed, &tx, limits.answer_bytes).await {
-                Copied::Kept(body) => answered(Some(body)),
-                Copied::TooLong => answered(None),
-                Copied::CutOff => ClaimEnd::Unknown,
+            let outcome = match copy_body(streamed, &tx, limits.answer_bytes).await {
+                CopyResult::Complete(body) => store(Some(body)),
+                CopyResult::TooLong => store(None),
+                CopyResult::Truncated => ClaimOutcome::Unknown,
             };
-            let whole = end != ClaimEnd::Unknown;
-            end_claim(claims, key, end).await;
-            if whole {
+            let is_complete = outcome != ClaimOutcome::Unknown;
+            finish_claim(claims, key, outcome).await;
+            if is_complete {
                 tx.finish();
             }
         }
     }
 }
 
-async fn end_claim(claims: &Claims, key: ClaimKey, end: ClaimEnd) {
-    if let Err(closed) = claims.end(key, end).await {
+async fn finish_claim(claims: &Claims, key: ClaimKey, outcome: ClaimOutcome) {
+    if let Err(closed) = claims.finish(key, outcome).await {
         Line::new("answer_not_kept").with("error", closed).error();
     }
 }
 
-/// What became of a body that was copied.
+/// Result of copying a body.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Copied {
-    /// It ended as it should, and these are its bytes.
-    Kept(Vec<u8>),
-    /// It ended as it should and was too long to be kept.
+enum CopyResult {
+    /// The body ended properly, and these are its bytes.
+    Complete(Vec<u8>),
+    /// The body ended properly but is too long to be stored.
     TooLong,
-    /// It broke off.
-    CutOff,
+    /// The body broke off.
+    Truncated,
 }
 
-/// Copies a body to the caller, as fast as the caller takes it and, once the caller is gone, to
-/// the end. Keeps its bytes unless they are more than `limit`.
-async fn copy(mut from: OutboxBody, to: &Outbox, limit: usize) -> Copied {
-    let mut kept = Some(Vec::new());
+/// Copies a body to the caller at the speed of the caller and, once the caller has disconnected, to
+/// its end. Also returns the bytes unless there are more than `limit`.
+async fn copy_body(mut from: OutboxBody, to: &Outbox, limit: usize) -> CopyResult {
+    let mut stored = Some(Vec::new());
     while let Some(frame) = poll_fn(|cx| Pin::new(&mut from).poll_frame(cx)).await {
-        let Ok(frame) = frame else { return Copied::CutOff };
+        let Ok(frame) = frame else { return CopyResult::Truncated };
         let data: Bytes = frame.into_data().unwrap_or_default();
         to.push(&data);
-        if let Some(bytes) = &mut kept {
+        if let Some(bytes) = &mut stored {
             bytes.extend_from_slice(&data);
         }
-        kept = kept.filter(|bytes| bytes.len() <= limit);
+        stored = stored.filter(|bytes| bytes.len() <= limit);
         poll_fn(|cx| match to.poll_closed(cx) {
             Poll::Ready(()) => Poll::Ready(()),
             Poll::Pending => to.poll_capacity(cx),
         })
         .await;
     }
-    kept.map_or(Copied::TooLong, Copied::Kept)
+    stored.map_or(CopyResult::TooLong, CopyResult::Complete)
 }
 
-/// The answer that a repeat gets.
-fn replay(answer: StoredResponse) -> Response<ResponseBody> {
-    let Some(body) = answer.body else {
-        let message = "the call ran; its answer was too long to be kept";
+/// The response to a repeated call.
+fn replay(stored: StoredResponse) -> Response<ResponseBody> {
+    let Some(body) = stored.body else {
+        let message = "the call ran, but its response was too long to be stored";
         let mut error = ApiError::rejected(StatusCode::CONFLICT, "answer_not_kept", message);
         error.run = RunState::Ran;
         return error.into_response();
     };
     let mut response = Response::new(ResponseBody::full(body.into()));
-    *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
+    *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
     let headers = response.headers_mut();
     headers.insert(RUN_HEADER, HeaderValue::from_static(RunState::Ran.name()));
     headers.insert("idempotency-replayed", HeaderValue::from_static("true"));
-    if let Some(kind) = answer.content_type.and_then(|kind| kind.parse().ok()) {
+    if let Some(kind) = stored.content_type.and_then(|kind| kind.parse().ok()) {
         headers.insert(CONTENT_TYPE, kind);
     }
     response
--- a/crates/vaneway-server/src/core/calls/mod.rs
+++ b/crates/vaneway-server/src/core/calls/mod.rs
@@ -1,4 +1,4 @@
-//! Requests under way: decisions over each, from its acceptance to the last byte of its answer.
+//! Open requests: handling of each from its admission to the last byte of its response.
 
 mod attempt;
 pub mod call;
--- a/crates/vaneway-server/src/core/calls/open_requests.rs
+++ b/crates/vaneway-server/src/core/calls/open_requests.rs
@@ -1,5 +1,5 @@
-//! The requests that are open at this box: who they belong to, where they stand, and the way to
-//! tell them that their endpoint leaves.
+//! The open requests of this box: their organisations and states, and delivery of events to them,
+//! such as that an endpoint is leaving.
 
 use std::cell::Cell;
 use std::cell::OnceCell;
@@ -23,11 +23,11 @@
 use crate::core::endpoints::protocol::CallRequest;
 use crate::util::clock;
 
-/// Number of a request at this box since its start.
+/// Number of a request, counted from the start of this box.
 pub type RequestNumber = u64;
 
-/// Most open requests that a dump lists; the count is always whole.
-const DUMPED_MOST: usize = 1_000;
+/// Maximum number of open requests listed in a dump; the count in it includes all.
+const MAX_DUMPED_REQUESTS: usize = 1_000;
 
 /// One open request.
 #[derive(Debug)]
@@ -36,13 +36,13 @@
     pub number: RequestNumber,
     /// Name of the organisation that sent it.
     pub organisation: String,
-    /// Name of the service that answers it.
+    /// Name of the service that handles it.
     pub service: String,
-    since: Instant,
+    opened_at: Instant,
     state: Cell<RequestState>,
     endpoint: Cell<Option<EndpointId>>,
-    sent: Cell<u32>,
-    /// What it asks of its service, if it passes through.
+    sent_tokens: Cell<u32>,
+    /// The request to its service, if it is forwarded as it is.
     call: OnceCell<Rc<CallRequest>>,
     signals: RefCell<VecDeque<Event>>,
     waker: RefCell<Option<Waker>>,
@@ -57,13 +57,13 @@
         }
     }
 
-    /// Keeps what it asks of its service.
+    /// Stores the request to its service.
     pub fn set_call(&self, call: Rc<CallRequest>) {
-        // Set once, when the request is entered.
+        // Set once, when the request is inserted.
         let _first = self.call.set(call);
     }
 
-    /// The next event that was delivered.
+    /// Polls for the next delivered event.
     pub fn poll_signal(&self, cx: &Context<'_>) -> Poll<Event> {
         if let Some(event) = self.signals.borrow_mut().pop_front() {
             return Poll::Ready(event);
@@ -76,16 +76,16 @@
         Poll::Pending
     }
 
-    /// Notes where the request stands, for dumps.
-    pub fn note(&self, relay: &Relay) {
+    /// Records the state of the request, for dumps.
+    pub fn record_state(&self, relay: &Relay) {
         self.state.set(relay.state());
         self.endpoint.set(relay.endpoint());
-        self.sent.set(relay.splice().sent_tokens());
+        self.sent_tokens.set(relay.splice().sent_tokens());
     }
 
     /// How long the request has been open.
     pub fn age(&self) -> std::time::Duration {
-        clock::elapsed(self.since)
+        clock::elapsed(self.opened_at)
     }
 
     fn dump(&self) -> Value {
@@ -95,7 +95,7 @@
             "service": self.service,
             "state": self.state.get().name(),
             "endpoint": self.endpoint.get(),
-            "sent_tokens": self.sent.get(),
+            "sent_tokens": self.sent_tokens.get(),
             "age_ms": self.age().as_millis() as u64,
         })
     }
@@ -109,43 +109,43 @@
 struct Table {
     next: Cell<RequestNumber>,
     open: RefCell<BTreeMap<RequestNumber, Rc<OpenRequest>>>,
-    emptied: RefCell<Option<Waker>>,
+    empty_waker: RefCell<Option<Waker>>,
 }
 
 /// Keeps a request in the table until it is dropped.
 #[derive(Debug)]
-pub struct OpenGuard {
+pub struct OpenRequestGuard {
     table: OpenRequests,
     request: Rc<OpenRequest>,
 }
 
 impl OpenRequests {
-    /// Enters a request.
-    pub fn insert(&self, organisation: &str, service: &str) -> OpenGuard {
+    /// Inserts a request.
+    pub fn insert(&self, organisation: &str, service: &str) -> OpenRequestGuard {
         let number = self.0.next.get() + 1;
         self.0.next.set(number);
         let request = Rc::new(OpenRequest {
             number,
             organisation: organisation.to_owned(),
             service: service.to_owned(),
-            since: clock::now(),
+            opened_at: clock::now(),
             state: Cell::new(RequestState::Accepted),
             endpoint: Cell::new(None),
-            sent: Cell::new(0),
+            sent_tokens: Cell::new(0),
             call: OnceCell::new(),
             signals: RefCell::default(),
             waker: RefCell::default(),
         });
         self.0.open.borrow_mut().insert(number, Rc::clone(&request));
-        OpenGuard { table: self.clone(), request }
+        OpenRequestGuard { table: self.clone(), request }
     }
 
-    /// How many are open.
+    /// Number of open requests.
     pub fn len(&self) -> usize {
         self.0.open.borrow().len()
     }
 
-    /// Whether none is open.
+    /// Whether there are no open requests.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -157,45 +157,45 @@
         }
     }
 
-    /// Delivers an event to the open requests whose call is one of `which`.
-    pub fn send_to_matching(&self, event: &Event, which: impl Fn(&CallRequest) -> bool) {
+    /// Delivers an event to the open requests whose call satisfies `predicate`.
+    pub fn send_to_matching(&self, event: &Event, predicate: impl Fn(&CallRequest) -> bool) {
         for request in self.0.open.borrow().values() {
-            if request.call.get().is_some_and(|call| which(call)) {
+            if request.call.get().is_some_and(|call| predicate(call)) {
                 request.signal(event.clone());
             }
         }
     }
 
-    /// Ready once none is open.
+    /// Ready once there are no open requests.
     pub fn poll_empty(&self, cx: &Context<'_>) -> Poll<()> {
         if self.is_empty() {
             return Poll::Ready(());
         }
-        *self.0.emptied.borrow_mut() = Some(cx.waker().clone());
+        *self.0.empty_waker.borrow_mut() = Some(cx.waker().clone());
         Poll::Pending
     }
 
     /// The table as JSON.
     pub fn dump(&self) -> Value {
         let open = self.0.open.borrow();
-        let listed: Vec<_> = open.values().take(DUMPED_MOST).map(|r| r.dump()).collect();
+        let listed: Vec<_> = open.values().take(MAX_DUMPED_REQUESTS).map(|r| r.dump()).collect();
         json!({ "count": open.len(), "listed": listed })
     }
 }
 
-impl OpenGuard {
+impl OpenRequestGuard {
     /// The request.
     pub fn request(&self) -> &Rc<OpenRequest> {
         &self.request
     }
 }
 
-impl Drop for OpenGuard {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         let mut open = self.table.0.open.borrow_mut();
         open.remove(&self.request.number);
         if open.is_empty()
-            && let Some(waker) = self.table.0.emptied.borrow_mut().take()
+            && let Some(waker) = self.table.0.empty_waker.borrow_mut().take()
         {
             waker.wake();
         }
