--- a/crates/vaneway-test-support/src/caller.rs
+++ b/crates/vaneway-test-support/src/caller.rs
@@ -25,7 +25,7 @@
 
 /// A whole answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WholeAnswer {
+pub struct ReceivedResponse {
     /// HTTP status.
     pub status: u16,
     /// Value of the header that says whether the request was run.
@@ -35,10 +35,10 @@
     /// The body.
     pub body: Bytes,
     /// Whether the body ended as it should.
-    pub whole: bool,
+    pub complete: bool,
 }
 
-impl WholeAnswer {
+impl ReceivedResponse {
     /// The body as JSON.
     ///
     /// # Panics
@@ -71,10 +71,10 @@
 
 /// An answer that arrives.
 #[derive(Debug)]
-pub struct OpenAnswer {
+pub struct OpenResponse {
     response: Response<Incoming>,
     received: Vec<u8>,
-    whole: Option<bool>,
+    complete: Option<bool>,
 }
 
 impl Caller {
@@ -85,7 +85,7 @@
 
     /// The same caller, naming another host.
     #[must_use]
-    pub fn at_host(mut self, host: &str) -> Self {
+    pub fn with_host(mut self, host: &str) -> Self {
         host.clone_into(&mut self.host);
         self
     }
@@ -101,7 +101,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: String,
-    ) -> OpenAnswer {
+    ) -> OpenResponse {
         self.try_open(method, path, headers, body).await.expect("an answer")
     }
 
@@ -112,9 +112,9 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Option<WholeAnswer> {
+    ) -> Option<ReceivedResponse> {
         let answer = self.try_open(method, path, headers, body.to_owned()).await?.finish().await;
-        answer.whole.then_some(answer)
+        answer.complete.then_some(answer)
     }
 
     async fn try_open(
@@ -123,7 +123,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: String,
-    ) -> Option<OpenAnswer> {
+    ) -> Option<OpenResponse> {
         let stream = socket::connect(self.address).await.ok()?;
         let (mut tx, connection) = http1::handshake(stream).await.ok()?;
         compio::runtime::spawn(async move {
@@ -141,11 +141,11 @@
         }
         let req = builder.body(Full::new(Bytes::from(body))).expect("a valid request");
         let response = tx.send_request(req).await.ok()?;
-        Some(OpenAnswer { response, received: Vec::new(), whole: None })
+        Some(OpenResponse { response, received: Vec::new(), complete: None })
     }
 
     /// Sends a request and reads the whole answer.
-    pub async fn send(&self, method: Method, path: &str, body: &str) -> WholeAnswer {
+    pub async fn send(&self, method: Method, path: &str, body: &str) -> ReceivedResponse {
         self.send_with(method, path, &[], body).await
     }
 
@@ -156,17 +156,17 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> WholeAnswer {
+    ) -> ReceivedResponse {
         self.open(method, path, headers, body.to_owned()).await.finish().await
     }
 
     /// Asks for a chat answer in one piece.
-    pub async fn chat(&self, model: &str, prompt: &str, tokens: u32) -> WholeAnswer {
+    pub async fn chat(&self, model: &str, prompt: &str, tokens: u32) -> ReceivedResponse {
         self.send(Method::POST, "/v1/chat/completions", &chat(model, prompt, tokens, false)).await
     }
 
     /// Asks for a streamed chat answer.
-    pub async fn stream(&self, model: &str, prompt: &str, tokens: u32) -> OpenAnswer {
+    pub async fn stream(&self, model: &str, prompt: &str, tokens: u32) -> OpenResponse {
         let body = chat(model, prompt, tokens, true);
         self.open(Method::POST, "/v1/chat/completions", &[], body).await
     }
@@ -183,7 +183,7 @@
     .to_string()
 }
 
-impl OpenAnswer {
+impl OpenResponse {
     /// HTTP status.
     pub fn status(&self) -> u16 {
         self.response.status().as_u16()
@@ -202,7 +202,7 @@
 
     /// Reads until `count` events of the stream have arrived, or all of it.
     pub async fn events(&mut self, count: usize) {
-        while self.whole.is_none() && self.event_count() < count {
+        while self.complete.is_none() && self.event_count() < count {
             self.more().await;
         }
     }
@@ -214,21 +214,21 @@
     async fn more(&mut self) {
         match self.response.body_mut().into_data_stream().next().await {
             Some(Ok(data)) => self.received.extend_from_slice(&data),
-            Some(Err(_)) => self.whole = Some(false),
-            None => self.whole = Some(true),
+            Some(Err(_)) => self.complete = Some(false),
+            None => self.complete = Some(true),
         }
     }
 
     /// Reads the rest.
-    pub async fn finish(mut self) -> WholeAnswer {
-        while self.whole.is_none() {
+    pub async fn finish(mut self) -> ReceivedResponse {
+        while self.complete.is_none() {
             self.more().await;
         }
-        WholeAnswer {
+        ReceivedResponse {
             status: self.status(),
             run: self.header("x-vaneway-run"),
             retry_after: self.header("retry-after"),
-            whole: self.whole == Some(true),
+            complete: self.complete == Some(true),
             body: Bytes::from(self.received),
         }
     }
--- a/crates/vaneway-test-support/src/control_group.rs
+++ b/crates/vaneway-test-support/src/control_group.rs
@@ -49,7 +49,7 @@
 
 /// What a box answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BoxAnswer {
+pub struct ControlResponse {
     /// HTTP status.
     pub status: u16,
     /// Where the box says that the leader is.
@@ -58,9 +58,9 @@
     pub body: String,
 }
 
-impl BoxAnswer {
+impl ControlResponse {
     /// The answer of the control box at `address` to one call; none if it does not answer in time.
-    pub fn to(address: SocketAddr, method: &str, path: &str, body: &str) -> Option<Self> {
+    pub fn request(address: SocketAddr, method: &str, path: &str, body: &str) -> Option<Self> {
         let mut stream = TcpStream::connect_timeout(&address, CALL_WITHIN).ok()?;
         stream.set_read_timeout(Some(CALL_WITHIN)).ok()?;
         let length = body.len();
@@ -147,7 +147,7 @@
     }
 
     /// Starts a box that is down, and tells it only of box `seed`.
-    pub fn start_box_that_knows_one(&mut self, i: usize, seed: usize) {
+    pub fn start_box_with_seed(&mut self, i: usize, seed: usize) {
         self.start_with_seeds(i, false, &[self.cluster_address(seed)]);
     }
 
@@ -232,8 +232,8 @@
     }
 
     /// One call to a box; none if it does not answer in time.
-    pub fn call(&self, i: usize, method: &str, path: &str, body: &str) -> Option<BoxAnswer> {
-        BoxAnswer::to(self.address(i), method, path, body)
+    pub fn call(&self, i: usize, method: &str, path: &str, body: &str) -> Option<ControlResponse> {
+        ControlResponse::request(self.address(i), method, path, body)
     }
 
     /// Puts a configuration in force, at whichever box takes it, in the form of the group's protocol.
--- a/crates/vaneway-test-support/src/engine/mod.rs
+++ b/crates/vaneway-test-support/src/engine/mod.rs
@@ -124,7 +124,7 @@
 struct Faults {
     frozen: bool,
     refusing: bool,
-    steps_for_each: u32,
+    steps_per_token: u32,
 }
 
 #[derive(Debug, Default)]
@@ -178,18 +178,18 @@
     }
 
     /// Names a limit in all further answers, or none.
-    pub fn name_limit(&self, limit: Option<&str>) {
+    pub fn advertise_limit(&self, limit: Option<&str>) {
         *lock(&self.shared.limit) = limit.map(str::to_owned);
     }
 
     /// Asks for rest in all further refusals, or for none.
-    pub fn ask_rest(&self, seconds: Option<&str>) {
+    pub fn request_back_off(&self, seconds: Option<&str>) {
         *lock(&self.shared.rest) = seconds.map(str::to_owned);
     }
 
     /// Makes a token only every so many steps.
-    pub fn slow_down(&self, steps_for_each: u32) {
-        lock(&self.shared.faults).steps_for_each = steps_for_each;
+    pub fn set_steps_per_token(&self, steps_per_token: u32) {
+        lock(&self.shared.faults).steps_per_token = steps_per_token;
     }
 
     /// Dies: every connection is closed at once.
@@ -225,7 +225,7 @@
         compio::time::sleep_until(next).await;
         steps = steps.wrapping_add(1);
         let faults = *lock(&local.shared.faults);
-        let skipped = faults.steps_for_each > 1 && !steps.is_multiple_of(faults.steps_for_each);
+        let skipped = faults.steps_per_token > 1 && !steps.is_multiple_of(faults.steps_per_token);
         if !faults.frozen && !skipped {
             let mut stats = lock(&local.shared.stats);
             local.batch.borrow_mut().step(&mut stats);
--- a/crates/vaneway-test-support/src/explorer.rs
+++ b/crates/vaneway-test-support/src/explorer.rs
@@ -13,7 +13,7 @@
 use std::hash::RandomState;
 
 /// A step with the state after it, or the fault that it brought about.
-pub type Taken<M> = (<M as Model>::Step, Result<<M as Model>::State, String>);
+pub type Transition<M> = (<M as Model>::Step, Result<<M as Model>::State, String>);
 
 /// What is explored.
 pub trait Model {
@@ -26,12 +26,12 @@
     fn initial(&self) -> Vec<Self::State>;
 
     /// Every step that can follow, with the state after it, or the fault that it brought about.
-    fn next(&self, state: &Self::State) -> Vec<Taken<Self>>;
+    fn next(&self, state: &Self::State) -> Vec<Transition<Self>>;
 }
 
 /// What exploring found.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Explored {
+pub struct Exploration {
     /// States visited.
     pub states: usize,
     /// Steps of the longest way.
@@ -65,7 +65,7 @@
 type Origin<S> = Option<(usize, S)>;
 
 /// Visits up to `most` states.
-pub fn explore<M: Model>(model: &M, most: usize) -> Explored {
+pub fn explore<M: Model>(model: &M, most: usize) -> Exploration {
     let hasher = RandomState::new();
     let mut seen = HashSet::new();
     let mut origins: Vec<Origin<M::Step>> = Vec::new();
@@ -86,7 +86,7 @@
                     let mut steps = way(&origins, number);
                     steps.push(format!("{step:?}"));
                     let fault = Some(Fault { what, steps });
-                    return Explored { states: origins.len(), depth, complete: false, fault };
+                    return Exploration { states: origins.len(), depth, complete: false, fault };
                 }
             };
             if seen.insert(hasher.hash_one(&after)) {
@@ -94,11 +94,11 @@
                 queue.push_back((origins.len() - 1, steps + 1, after));
             }
             if origins.len() >= most {
-                return Explored { states: origins.len(), depth, complete: false, fault: None };
+                return Exploration { states: origins.len(), depth, complete: false, fault: None };
             }
         }
     }
-    Explored { states: origins.len(), depth, complete: true, fault: None }
+    Exploration { states: origins.len(), depth, complete: true, fault: None }
 }
 
 fn way<S: fmt::Debug>(origins: &[Origin<S>], mut number: usize) -> Vec<String> {
--- a/crates/vaneway-test-support/src/naming_control_box.rs
+++ b/crates/vaneway-test-support/src/naming_control_box.rs
@@ -32,7 +32,7 @@
 
 /// A control box that takes entry boxes in, names control boxes to them, and takes their reports until dropped.
 #[derive(Debug)]
-pub struct NamingControlBox {
+pub struct AdvertisingControlBox {
     shared: Arc<Shared>,
 }
 
@@ -59,7 +59,7 @@
     std::array::from_fn(|i| TcpListener::bind((address(i), port)).expect("a free address"))
 }
 
-impl NamingControlBox {
+impl AdvertisingControlBox {
     /// Takes in whoever connects, and names the control boxes `named`.
     ///
     /// # Panics
@@ -89,7 +89,7 @@
     }
 }
 
-impl Drop for NamingControlBox {
+impl Drop for AdvertisingControlBox {
     fn drop(&mut self) {
         self.shared.stop.store(true, Ordering::Relaxed);
     }
--- a/crates/vaneway-test-support/src/plain_service.rs
+++ b/crates/vaneway-test-support/src/plain_service.rs
@@ -80,12 +80,12 @@
     }
 
     /// Says in its answers that it leaves, or no more.
-    pub fn say_leaving(&self, leaving: bool) {
+    pub fn announce_leaving(&self, leaving: bool) {
         lock(&self.state).leaving = leaving;
     }
 
     /// Waits before each answer.
-    pub fn pause(&self, pause: Duration) {
+    pub fn delay_responses(&self, pause: Duration) {
         lock(&self.state).pause = pause;
     }
 }
--- a/crates/vaneway-test-support/src/process.rs
+++ b/crates/vaneway-test-support/src/process.rs
@@ -218,7 +218,7 @@
     /// # Panics
     ///
     /// If the process has ended.
-    pub fn resident_bytes_most(&self) -> u64 {
+    pub fn peak_resident_bytes(&self) -> u64 {
         self.status_bytes("VmHWM:")
     }
 
--- a/crates/vaneway-test-support/src/proxy.rs
+++ b/crates/vaneway-test-support/src/proxy.rs
@@ -111,7 +111,7 @@
 
     /// Cuts once so many more bytes came from the server; with 0, at the first byte of the next
     /// answer. Connections after that are not cut.
-    pub fn cut_answer_after(&self, bytes: u64) {
+    pub fn cut_response_after(&self, bytes: u64) {
         lock(&self.faults).answer_left = Some(bytes);
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Loses and reorders datagrams.
-    pub fn disturb(&self, loss_percent: u32, reorder_percent: u32) {
+    pub fn set_loss_and_reordering(&self, loss_percent: u32, reorder_percent: u32) {
         let mut faults = lock(&self.faults);
         faults.loss_percent = loss_percent;
         faults.reorder_percent = reorder_percent;
--- a/crates/vaneway-test-support/src/several.rs
+++ b/crates/vaneway-test-support/src/several.rs
@@ -10,7 +10,7 @@
 
 /// Running entry boxes named `entry-1`, `entry-2`, ….
 #[derive(Debug)]
-pub struct Several {
+pub struct EntryGroup {
     deployments: Vec<Deployment>,
     /// The processes; none while one is down.
     entries: Vec<Option<Process>>,
@@ -18,7 +18,7 @@
     pub proxies: Vec<Proxy>,
 }
 
-impl Several {
+impl EntryGroup {
     /// Starts `count` entries before `engines`; only the first follows the platform.
     pub fn start(program: &Path, count: usize, engines: &[Replica], platform: SocketAddr) -> Self {
         let proxies: Vec<_> = (0..count).map(|i| Proxy::udp(i as u64 + 1)).collect();
--- a/crates/vaneway-test-support/src/slow_readers.rs
+++ b/crates/vaneway-test-support/src/slow_readers.rs
@@ -80,7 +80,7 @@
         let shared = Arc::new(Shared::default());
         let theirs = Arc::clone(&shared);
         let mut readers = Self { shared, thread: None };
-        readers.take(bytes_a_second);
+        readers.set_rate(bytes_a_second);
         let run = move || {
             let mut readers: Vec<_> =
                 (0..count).map(|i| Reader::connect(control, i, version, had)).collect();
@@ -96,7 +96,7 @@
     }
 
     /// Lets each reader take so many bytes a second from now on.
-    pub fn take(&self, bytes_a_second: usize) {
+    pub fn set_rate(&self, bytes_a_second: usize) {
         let take = bytes_a_second as f64 * READ_EVERY.as_secs_f64();
         self.shared.take.store(take as usize, Ordering::Relaxed);
     }
--- a/crates/vaneway-test-support/src/soak/callers.rs
+++ b/crates/vaneway-test-support/src/soak/callers.rs
@@ -15,7 +15,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::Caller;
-use crate::caller::WholeAnswer;
+use crate::caller::ReceivedResponse;
 use crate::soak::world::HOST;
 use crate::soak::world::KEY;
 use crate::wire_endpoint::events;
@@ -67,7 +67,7 @@
 
 /// One request with what its caller saw.
 #[derive(Debug, Clone)]
-pub struct Call {
+pub struct CallerRequest {
     /// Its id.
     pub id: String,
     /// Its kind.
@@ -79,10 +79,10 @@
     /// When it ended.
     pub ended: Instant,
     /// The whole answer; none if the connection ended without one.
-    pub answer: Option<WholeAnswer>,
+    pub answer: Option<ReceivedResponse>,
 }
 
-impl Call {
+impl CallerRequest {
     /// Whether it got a whole answer of success.
     pub fn is_served(&self) -> bool {
         self.answer.as_ref().is_some_and(|answer| answer.status == 200)
@@ -102,7 +102,7 @@
 #[derive(Debug)]
 pub struct Callers {
     stop: Arc<AtomicBool>,
-    threads: Vec<JoinHandle<Vec<Call>>>,
+    threads: Vec<JoinHandle<Vec<CallerRequest>>>,
 }
 
 impl Callers {
@@ -129,7 +129,7 @@
     /// # Panics
     ///
     /// If a caller panicked.
-    pub fn finish(self) -> Vec<Call> {
+    pub fn finish(self) -> Vec<CallerRequest> {
         self.stop.store(true, Ordering::Relaxed);
         self.threads.into_iter().flat_map(|thread| thread.join().expect("a caller ends")).collect()
     }
@@ -140,7 +140,7 @@
     number: u64,
     stop: &AtomicBool,
     entries: &Mutex<Vec<Option<SocketAddr>>>,
-) -> Vec<Call> {
+) -> Vec<CallerRequest> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ (number + 1));
     let mut calls = Vec::new();
     while !stop.load(Ordering::Relaxed) {
@@ -158,7 +158,7 @@
     calls
 }
 
-async fn send(address: SocketAddr, entry: usize, kind: Kind, id: String) -> Call {
+async fn send(address: SocketAddr, entry: usize, kind: Kind, id: String) -> CallerRequest {
     let mut headers = vec![("x-request-id", id.as_str()), ("x-deadline-ms", "3000")];
     if kind.is_stream() {
         headers.extend([
@@ -167,8 +167,8 @@
             ("x-prompt-prefix", "5c1e07a2:800,91bd3f06:410,e4402b7d:250"),
         ]);
     }
-    let caller = Caller::new(address, KEY).at_host(HOST);
+    let caller = Caller::new(address, KEY).with_host(HOST);
     let sent = Instant::now();
     let answer = caller.try_send_with(Method::POST, kind.path(), &headers, &body_of(&id)).await;
-    Call { kind, entry, sent, ended: Instant::now(), answer, id }
+    CallerRequest { kind, entry, sent, ended: Instant::now(), answer, id }
 }
--- a/crates/vaneway-test-support/src/soak/mod.rs
+++ b/crates/vaneway-test-support/src/soak/mod.rs
@@ -28,13 +28,13 @@
 #[derive(Debug)]
 pub struct Report {
     /// Every broken promise.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Requests that callers sent.
     pub requests: usize,
     /// Those that were answered whole with success.
     pub served: usize,
     /// Requests by kind and status; 0 stands for no answer.
-    pub ends: BTreeMap<(String, u16), usize>,
+    pub outcomes: BTreeMap<(String, u16), usize>,
     /// What the processes logged, each with its name.
     pub logs: Vec<(String, String)>,
 }
@@ -47,7 +47,7 @@
 pub fn run(program: &Path, seed: u64, time: Duration) -> Report {
     let mut steps = plan::plan(seed, time);
     steps.extend(plan::limits(seed));
-    steps.extend(plan::rests(seed, time));
+    steps.extend(plan::back_offs(seed, time));
     steps.extend(plan::configurations(seed, time));
     steps.sort_by_key(|step| step.at);
     let mut world = World::start(program);
@@ -60,17 +60,17 @@
     world.heal();
     world.wait_until_configured();
     // Limits bind all boxes only now.
-    std::thread::sleep(limits::BINDS_AFTER + limits::COUNTED_OVER);
+    std::thread::sleep(limits::BINDING_DELAY + limits::COUNTING_WINDOW);
     let calls = callers.finish();
     let evidence = Evidence { calls: &calls, world: &world };
-    let mut ends = BTreeMap::new();
+    let mut outcomes = BTreeMap::new();
     for call in &calls {
         let status = call.answer.as_ref().map_or(0, |answer| answer.status);
-        *ends.entry((format!("{:?}", call.kind), status)).or_default() += 1;
+        *outcomes.entry((format!("{:?}", call.kind), status)).or_default() += 1;
     }
     Report {
-        ends,
-        broken: promises::broken(&evidence),
+        outcomes,
+        violations: promises::violations(&evidence),
         requests: calls.len(),
         served: calls.iter().filter(|call| call.is_served()).count(),
         logs: world.logs(),
--- a/crates/vaneway-test-support/src/soak/plan.rs
+++ b/crates/vaneway-test-support/src/soak/plan.rs
@@ -45,7 +45,7 @@
     /// Resets an endpoint's connections and refuses new ones, or ceases to.
     Cut(usize, bool),
     /// Lets nothing pass to and from an endpoint while its connections stay open, or ceases to.
-    Silence(usize, bool),
+    Freeze(usize, bool),
     /// Delays all bytes to and from an endpoint.
     Delay(usize, Duration),
     /// Puts the next configuration in force.
@@ -55,9 +55,9 @@
     /// Lets an endpoint say that it leaves, and another take its place.
     Drain(usize),
     /// Lets an endpoint name so many requests a second as its limit from now on.
-    NameLimit(usize, &'static str),
+    AdvertiseLimit(usize, &'static str),
     /// Lets an endpoint ask for so many seconds of rest in its refusals from now on, or for none.
-    AskRest(usize, Option<&'static str>),
+    RequestBackOff(usize, Option<&'static str>),
 }
 
 /// An action with its time from the beginning.
@@ -99,7 +99,7 @@
     let limit = |i| {
         let at = Duration::from_millis(rng.random_range(0..1_000));
         let limit = LIMITS[rng.random_range(0..LIMITS.len())];
-        Step { at, action: Action::NameLimit((first + i) % ENDPOINTS, limit) }
+        Step { at, action: Action::AdvertiseLimit((first + i) % ENDPOINTS, limit) }
     };
     let mut limits: Vec<Step> = (0..count).map(limit).collect();
     limits.sort_by_key(|step| step.at);
@@ -113,7 +113,7 @@
 const RESTS_STREAM: u64 = 0x5245_5354;
 
 /// The rests of a seed within `time`: now and then an endpoint turns all away and asks for rest.
-pub fn rests(seed: u64, time: Duration) -> Vec<Step> {
+pub fn back_offs(seed: u64, time: Duration) -> Vec<Step> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ RESTS_STREAM);
     let mut steps = Vec::new();
     let mut at = Duration::from_millis(rng.random_range(0..1_000));
@@ -123,10 +123,10 @@
         let end = at + Duration::from_millis(rng.random_range(50..LASTS_MOST_MS));
         let step = |at, action| Step { at, action };
         steps.extend([
-            step(at, Action::AskRest(endpoint, Some(rest))),
+            step(at, Action::RequestBackOff(endpoint, Some(rest))),
             step(at, Action::Behave(endpoint, Behaviour::Refuse)),
-            step(end, Action::Behave(endpoint, Behaviour::Steadily)),
-            step(end, Action::AskRest(endpoint, None)),
+            step(end, Action::Behave(endpoint, Behaviour::Steady)),
+            step(end, Action::RequestBackOff(endpoint, None)),
         ]);
         at += Duration::from_millis(rng.random_range(500..2_500));
     }
@@ -172,7 +172,7 @@
             (all().map(Action::KillControl).collect(), all().map(Action::StartControl).collect())
         }
         6 => (vec![Action::Cut(endpoint, true)], vec![Action::Cut(endpoint, false)]),
-        7 => (vec![Action::Silence(endpoint, true)], vec![Action::Silence(endpoint, false)]),
+        7 => (vec![Action::Freeze(endpoint, true)], vec![Action::Freeze(endpoint, false)]),
         8 => {
             let delay = Duration::from_millis(rng.random_range(5..80));
             (vec![Action::Delay(endpoint, delay)], vec![Action::Delay(endpoint, Duration::ZERO)])
@@ -183,14 +183,14 @@
             let behaviour = match rng.random_range(0..8_u32) {
                 0 => Behaviour::Refuse,
                 1 => Behaviour::Fail,
-                2 => Behaviour::LoseAnswer,
-                3 => Behaviour::AnswerAnother,
-                4 => Behaviour::BreakAfter(rng.random_range(1..9)),
+                2 => Behaviour::LoseResponse,
+                3 => Behaviour::RespondToAnother,
+                4 => Behaviour::TruncateAfter(rng.random_range(1..9)),
                 5 => Behaviour::Hang,
                 6 => Behaviour::FailStream,
-                _ => Behaviour::EndEarly,
+                _ => Behaviour::CloseBeforeEvent,
             };
-            let usual = Action::Behave(endpoint, Behaviour::Steadily);
+            let usual = Action::Behave(endpoint, Behaviour::Steady);
             (vec![Action::Behave(endpoint, behaviour)], vec![usual])
         }
     }
--- a/crates/vaneway-test-support/src/soak/promises.rs
+++ b/crates/vaneway-test-support/src/soak/promises.rs
@@ -5,11 +5,11 @@
 use std::time::Instant;
 
 use crate::limits;
-use crate::limits::COUNTED_OVER;
-use crate::soak::callers::Call;
+use crate::limits::COUNTING_WINDOW;
+use crate::soak::callers::CallerRequest;
 use crate::soak::callers::Kind;
-use crate::soak::world::Limited;
-use crate::soak::world::Rested;
+use crate::soak::world::BackOff;
+use crate::soak::world::LimitedEndpoint;
 use crate::soak::world::World;
 
 /// Statuses that say that the request did not run and never will.
@@ -34,13 +34,13 @@
 #[derive(Debug)]
 pub struct Evidence<'a> {
     /// All requests.
-    pub calls: &'a [Call],
+    pub calls: &'a [CallerRequest],
     /// The deployment after its faults.
     pub world: &'a World,
 }
 
 /// Every broken promise, in words.
-pub fn broken(evidence: &Evidence<'_>) -> Vec<String> {
+pub fn violations(evidence: &Evidence<'_>) -> Vec<String> {
     let world = evidence.world;
     let mut broken = Vec::new();
     for call in evidence.calls {
@@ -63,27 +63,27 @@
 }
 
 /// Whoever gets success gets the whole answer to its own request.
-fn whole_answer(call: &Call) -> Option<String> {
+fn whole_answer(call: &CallerRequest) -> Option<String> {
     let answer = call.answer.as_ref().filter(|answer| answer.status == 200)?;
     let body = String::from_utf8_lossy(&answer.body);
     (body != call.expected_body()).then(|| format!("success with another body: {body:?}"))
 }
 
 /// What may not be repeated runs once at most, and nothing reaches more endpoints than its route says.
-fn runs_in_bounds(call: &Call, runs: u32) -> Option<String> {
+fn runs_in_bounds(call: &CallerRequest, runs: u32) -> Option<String> {
     let most = if call.kind.may_repeat() { ATTEMPTS_MOST } else { 1 };
     (runs > most).then(|| format!("ran {runs} times"))
 }
 
 /// A refusal that says that the request did not run is true.
-fn refusal(call: &Call, runs: u32) -> Option<String> {
+fn refusal(call: &CallerRequest, runs: u32) -> Option<String> {
     let status = call.answer.as_ref()?.status;
     (NOT_RUN.contains(&status) && runs > 0)
         .then(|| format!("refused with {status}, but ran {runs} times"))
 }
 
 /// An entry box that is not killed answers what it takes, also while it stops as planned.
-fn answered(call: &Call, world: &World) -> Option<String> {
+fn answered(call: &CallerRequest, world: &World) -> Option<String> {
     let owed = matches!(call.kind, Kind::Repeatable | Kind::Once);
     if !owed || call.answer.is_some() {
         return None;
@@ -113,15 +113,15 @@
     let over = evidence.world.limited().into_iter().filter_map(|limited| {
         let counts = |(at, id): &&(Instant, String)| {
             let entry = entry_of.get(id.as_str());
-            let calm = |entry| !evidence.world.was_disturbed(entry, *at, limits::BINDS_AFTER);
-            *at >= limited.since + limits::BINDS_AFTER && entry.is_some_and(|entry| calm(*entry))
+            let calm = |entry| !evidence.world.was_disturbed(entry, *at, limits::BINDING_DELAY);
+            *at >= limited.since + limits::BINDING_DELAY && entry.is_some_and(|entry| calm(*entry))
         };
         let counted: Vec<Instant> =
             limited.arrivals.iter().filter(counts).map(|(at, _)| *at).collect();
-        let most = limits::most(&counted);
-        let Limited { name, rate, .. } = limited;
-        (most as f64 > limits::allowed(rate)).then(|| {
-            format!("{name} named {rate} requests a second and got {most} in {COUNTED_OVER:?}")
+        let most = limits::max_in_window(&counted);
+        let LimitedEndpoint { name, rate, .. } = limited;
+        (most as f64 > limits::max_allowed(rate)).then(|| {
+            format!("{name} named {rate} requests a second and got {most} in {COUNTING_WINDOW:?}")
         })
     });
     over.collect()
@@ -130,8 +130,8 @@
 /// Endpoints that ask an entry box for rest get what operators allow from it meanwhile, unless something was done to it since.
 fn rests(evidence: &Evidence<'_>) -> Vec<String> {
     let entry_of = entry_of_each(evidence);
-    let over = evidence.world.rested(HELD_UP_MOST).into_iter().filter_map(|rested| {
-        let Rested { name, from, rest, id, arrivals } = rested;
+    let over = evidence.world.back_offs(HELD_UP_MOST).into_iter().filter_map(|rested| {
+        let BackOff { name, from, rest, id, arrivals } = rested;
         let entry = *entry_of.get(id.as_str())?;
         if evidence.world.was_disturbed(entry, from + rest, rest + HELD_UP_MOST) {
             return None;
@@ -149,7 +149,7 @@
 
 /// An acknowledged configuration is kept, none older takes its place, and it is what was sent.
 fn configuration(world: &World) -> Option<String> {
-    let (read, acknowledged) = (world.configuration_read(), world.configuration_acknowledged());
+    let (read, acknowledged) = (world.current_version(), world.acknowledged_version());
     if read < acknowledged {
         return Some(format!("configuration {acknowledged} was acknowledged, {read} is read"));
     }
--- a/crates/vaneway-test-support/src/wire_endpoint.rs
+++ b/crates/vaneway-test-support/src/wire_endpoint.rs
@@ -27,30 +27,30 @@
 pub enum Behaviour {
     /// Runs and answers them.
     #[default]
-    Answer,
+    Respond,
     /// Says that it did not run them.
     Refuse,
     /// Runs them and answers with 500.
     Fail,
     /// Runs them and breaks the connection in place of an answer.
-    LoseAnswer,
+    LoseResponse,
     /// Runs them and answers as if to another request.
-    AnswerAnother,
+    RespondToAnother,
     /// Breaks streams off in the middle of the event after this one.
-    BreakAfter(u32),
+    TruncateAfter(u32),
     /// Begins streams and never goes on.
     Hang,
     /// Runs streams and answers with 500 and a body that comes piece by piece.
     FailStream,
     /// Begins streams and breaks the connection before the first event.
-    EndEarly,
+    CloseBeforeEvent,
     /// Answers streams event by event, with a pause before each.
-    Steadily,
+    Steady,
 }
 
 /// A request as the endpoint got it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// When it came.
     pub at: Instant,
     /// Method and path.
@@ -95,7 +95,7 @@
 struct State {
     behaviour: Behaviour,
     says: Says,
-    seen: Vec<Seen>,
+    seen: Vec<ReceivedRequest>,
     runs: BTreeMap<String, u32>,
     /// Ends it; none once it has ended.
     end: Option<oneshot::Sender<()>>,
@@ -103,7 +103,7 @@
 
 /// Header of a request that ends the endpoint which runs it, as the crash of its process would; with the value `late`
 /// its connection breaks first and the endpoint listens 5 ms more.
-pub const ENDS_ENDPOINT: &str = "x-ends-endpoint";
+pub const CRASH_HEADER: &str = "x-ends-endpoint";
 
 /// Time between a connection's end and the listening socket's where a process dies: its system closes one after another.
 const LISTENS_FOR: Duration = Duration::from_millis(5);
@@ -158,27 +158,27 @@
     }
 
     /// Names a limit in all further answers, or none.
-    pub fn name_limit(&self, limit: Option<&str>) {
+    pub fn advertise_limit(&self, limit: Option<&str>) {
         lock(&self.state).says.limit = limit.map(str::to_owned);
     }
 
     /// Asks for rest in all further refusals, or for none.
-    pub fn ask_rest(&self, seconds: Option<&str>) {
+    pub fn request_back_off(&self, seconds: Option<&str>) {
         lock(&self.state).says.rest = seconds.map(str::to_owned);
     }
 
     /// Says in all further answers that it leaves.
-    pub fn say_leaving(&self) {
+    pub fn announce_leaving(&self) {
         lock(&self.state).says.leaving = true;
     }
 
     /// The requests that it got.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn received(&self) -> Vec<ReceivedRequest> {
         lock(&self.state).seen.clone()
     }
 
     /// Whether a request has ended it.
-    pub fn has_ended(&self) -> bool {
+    pub fn has_crashed(&self) -> bool {
         lock(&self.state).end.is_none()
     }
 
@@ -194,17 +194,17 @@
 
     /// A heartbeat's path and body.
     pub fn heartbeat(&self, service: &str, state: &str, seq: u64) -> (String, String) {
-        self.heartbeat_from(self.address(), service, state, seq)
+        self.heartbeat_with_address(self.address(), service, state, seq)
     }
 
     /// The same with the Unix millisecond in which this incarnation was born.
-    pub fn heartbeat_born(&self, service: &str, born: u64, seq: u64) -> (String, String) {
+    pub fn heartbeat_with_start(&self, service: &str, born: u64, seq: u64) -> (String, String) {
         let (path, body) = self.heartbeat(service, "ready", seq);
         (path, body.replacen('{', &format!(r#"{{"born":{born},"#), 1))
     }
 
     /// The same with the address of a proxy before it.
-    pub fn heartbeat_from(
+    pub fn heartbeat_with_address(
         &self,
         address: SocketAddr,
         service: &str,
@@ -242,14 +242,14 @@
     let expected = headers.get("x-expect-instance").is_none_or(|expected| *expected == instance);
     let streamed = headers.contains_key("x-token-usage");
     let after = headers.get("last-event-id").and_then(|after| after.parse().ok()).unwrap_or(0);
-    let ends_by = headers.get(ENDS_ENDPOINT).cloned();
+    let ends_by = headers.get(CRASH_HEADER).cloned();
     let (behaviour, says) = {
         let mut state = lock(&state);
         let body = String::from_utf8_lossy(&body).into_owned();
         let refuses = expected && state.behaviour == Behaviour::Refuse;
         let rest = state.says.rest.as_ref().filter(|_| refuses);
         let rest = rest.and_then(|rest| rest.parse().ok()).map(Duration::from_secs_f64);
-        state.seen.push(Seen { at: Instant::now(), line, headers, body, rest });
+        state.seen.push(ReceivedRequest { at: Instant::now(), line, headers, body, rest });
         if expected && state.behaviour != Behaviour::Refuse {
             *state.runs.entry(id.clone()).or_default() += 1;
         }
@@ -296,7 +296,7 @@
             tx.finish();
             answer(StatusCode::INTERNAL_SERVER_ERROR, &id, &instance, ResponseBody::Streamed(rx))
         }
-        Behaviour::EndEarly => {
+        Behaviour::CloseBeforeEvent => {
             let (tx, rx) = outbox(STREAM_BYTES);
             tx.push(b"id: 1\n");
             // Time for the head and a part of the event to arrive.
@@ -307,20 +307,20 @@
             .detach();
             answer(StatusCode::OK, &id, &instance, ResponseBody::Streamed(rx))
         }
-        Behaviour::LoseAnswer => {
+        Behaviour::LoseResponse => {
             let (tx, rx) = outbox(STREAM_BYTES);
             drop(tx);
             answer(StatusCode::OK, &id, &instance, ResponseBody::Streamed(rx))
         }
-        Behaviour::AnswerAnother => {
+        Behaviour::RespondToAnother => {
             answer(StatusCode::OK, "another", &instance, ResponseBody::full(body))
         }
-        Behaviour::Answer | Behaviour::BreakAfter(_) | Behaviour::Hang | Behaviour::Steadily
+        Behaviour::Respond | Behaviour::TruncateAfter(_) | Behaviour::Hang | Behaviour::Steady
             if streamed =>
         {
             answer(StatusCode::OK, &id, &instance, stream(behaviour, after))
         }
-        Behaviour::Answer | Behaviour::BreakAfter(_) | Behaviour::Hang | Behaviour::Steadily => {
+        Behaviour::Respond | Behaviour::TruncateAfter(_) | Behaviour::Hang | Behaviour::Steady => {
             answer(StatusCode::OK, &id, &instance, ResponseBody::full(body))
         }
     };
@@ -332,7 +332,7 @@
 fn stream(behaviour: Behaviour, after: u32) -> ResponseBody {
     let (tx, rx) = outbox(STREAM_BYTES);
     match behaviour {
-        Behaviour::BreakAfter(last) if after < last => {
+        Behaviour::TruncateAfter(last) if after < last => {
             let whole = events(after);
             let end = format!("id: {}\n", last + 1);
             let cut = whole.find(&end).map_or(whole.len(), |at| at + end.len());
@@ -351,7 +351,7 @@
             })
             .detach();
         }
-        Behaviour::Steadily => {
+        Behaviour::Steady => {
             compio::runtime::spawn(async move {
                 for event in events(after).split_inclusive("\n\n") {
                     compio::time::sleep(EVENT_EVERY).await;
--- a/crates/vaneway-test-support/src/wire_entry.rs
+++ b/crates/vaneway-test-support/src/wire_entry.rs
@@ -100,14 +100,14 @@
     /// # Panics
     ///
     /// If none comes in time.
-    pub fn next_told(&mut self) -> ToEntry {
+    pub fn next_message(&mut self) -> ToEntry {
         if let Some(told) = self.left.pop_front() {
             return told;
         }
         self.told.recv_timeout(WITHIN).expect("the control box tells something")
     }
 
-    /// Waits for a message of which `found` makes something; those before it are left for [`Self::next_told`].
+    /// Waits for a message of which `found` makes something; those before it are left for [`Self::next_message`].
     fn wait<T>(&mut self, what: &str, found: impl Fn(&ToEntry) -> Option<T>) -> T {
         let end = Instant::now() + WITHIN;
         while let Ok(told) = self.told.recv_timeout(end.saturating_duration_since(Instant::now())) {
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -62,7 +62,7 @@
     platform.reclaim(&format!("box-{name}"), NOTICE);
     let answer = stream.finish().await;
 
-    ensure!(answer.whole, "the answer was cut off");
+    ensure!(answer.complete, "the answer was cut off");
     let text = answer.streamed_text();
     ensure!(text == undisturbed, "the answer differs from an undisturbed one");
     println!("\n{text}\n");
