--- a/tests/testsuite/clock.rs
+++ b/tests/testsuite/clock.rs
@@ -1,4 +1,4 @@
-//! The steady time by which leases, deadlines and ages go.
+//! The steady clock on which leases, deadlines and ages are based.
 
 use std::cell::Cell;
 use std::path::Path;
@@ -10,7 +10,8 @@
 
 use crate::style;
 
-/// Guards against a leader that counts on its lease after its box was suspended, and whatever else takes old news for fresh.
+/// Guards against a leader that relies on an expired lease after its box was suspended, and against
+/// old data that is taken for recent for the same reason.
 #[test]
 fn time_in_which_the_box_is_suspended_counts() {
     let since_boot = Rc::new(Cell::new(Duration::from_secs(100)));
@@ -18,12 +19,12 @@
     let clock = SteadyClock::new(move || read.get());
     let lease_until = clock.now() + Duration::from_millis(500);
 
-    // The standard library's clock stands still meanwhile.
+    // The standard library's clock does not advance while the box is suspended.
     since_boot.set(since_boot.get() + Duration::from_secs(3));
     assert!(clock.now() > lease_until);
 }
 
-/// Guards against a part that reads a clock which does not count that time.
+/// Guards against code that reads a clock which does not advance while the box is suspended.
 #[test]
 fn nothing_in_the_product_reads_another_steady_clock() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
