--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,7 +1,7 @@
 //! Integration tests: real processes, stand-in endpoints and a fault-injecting proxy.
 //!
-//! A test sets up with [`Deployment`](vaneway_test_support::Deployment), acts as a
-//! [`Caller`](vaneway_test_support::Caller), and compares whole outputs. Tests wait on
+//! A test sets up a [`Deployment`](vaneway_test_support::Deployment), sends requests as a
+//! [`Caller`](vaneway_test_support::Caller), and compares complete outputs. Tests wait on
 //! conditions, never on time, and assert nothing about time.
 
 mod agreement;
