--- a/tests/testsuite/registrations.rs
+++ b/tests/testsuite/registrations.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// Guards against arrays of field values, which a derived deserializer takes for the object.
+/// Guards against arrays of field values, which a derived deserializer accepts in place of an object.
 #[test]
 fn registration_that_is_a_list_is_refused() {
     let list = r#"["maps","10.1.0.9:8080","north",8,"ready",false,null,4,1790000000000]"#;
--- a/tests/testsuite/routing.rs
+++ b/tests/testsuite/routing.rs
@@ -23,7 +23,7 @@
 
 const SERVICE: u32 = 0;
 
-/// A pool of endpoints, each named after its availability zone.
+/// A pool of endpoints, each named after its availability zone, and a manual clock.
 struct Fleet {
     pool: Pool,
     now: Instant,
