--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the benchmarks share: their command line and the entry as a quiet process.
+//! Code shared by the benchmarks: the command line, and starting an entry box with little logging.
 
-#![allow(dead_code, reason = "each benchmark uses a part of it")]
+#![allow(dead_code, reason = "no benchmark uses all items")]
 
 use std::path::Path;
 
@@ -14,16 +14,16 @@
     Path::new(env!("CARGO_BIN_EXE_vaneway"))
 }
 
-/// The words after `--`: whether to be quick, and the names of what to measure.
+/// Command-line arguments after `--`.
 #[derive(Debug)]
 pub struct Args {
-    /// Measure less, for a look.
+    /// Whether to run a shorter, less accurate measurement (`--quick`).
     pub quick: bool,
+    /// Names of the figures to measure; empty for all.
     names: Vec<String>,
 }
 
 impl Args {
-    /// Reads the command line.
     pub fn read() -> Self {
         let args: Vec<String> = std::env::args().skip(1).collect();
         let quick = args.iter().any(|arg| arg == "--quick");
@@ -31,19 +31,19 @@
         Self { quick, names }
     }
 
-    /// Whether to measure `name`: all if none was named.
+    /// Whether to measure the figure `name`; true if no figure was given on the command line.
     pub fn wants(&self, name: &str) -> bool {
         self.names.is_empty() || self.names.iter().any(|wanted| wanted == name)
     }
 }
 
-/// Replicas named `e0`, `e1`, … at the engines.
+/// One replica for each engine, named `e0`, `e1`, …
 pub fn numbered(engines: &[Engine]) -> Vec<Replica> {
     let named = |(i, engine): (usize, &Engine)| Replica::new(&format!("e{i}"), engine.address());
     engines.iter().enumerate().map(named).collect()
 }
 
-/// Starts the entry with a log that does not disturb the measurement.
+/// Starts the entry box at log level `info`, so that logging does not distort the measurement.
 pub fn start(deployment: &Deployment) -> Process {
     let level = "info,hyper=warn,compio=warn";
     Process::spawn_with_log(program(), deployment.folder(), deployment.settings(), level)
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -1,7 +1,7 @@
-//! One entry, two stand-in engines and a plain service in one process.
+//! One entry box, two stand-in engines and a plain service in one process.
 //!
-//! Streams an answer, reclaims its endpoint in the middle, shows that the answer is whole, then
-//! keeps serving for `curl`. With `--once` it ends instead.
+//! Streams a response, reclaims the box of its endpoint midway, checks that the response is
+//! complete, then keeps serving for `curl`. With `--once` it exits instead.
 //!
 //!     cargo run --release --example quickstart [-- --once]
 
@@ -21,13 +21,13 @@
 use vaneway_test_support::deployment::MODEL;
 use vaneway_test_support::deployment::TOKEN;
 
-/// Tokens of the answer: a little over a second of it.
+/// Tokens of the response, which take a little over a second.
 const TOKENS: u32 = 60;
 
-/// Tokens that are read before the endpoint is reclaimed.
+/// Tokens that are read before the endpoint's box is reclaimed.
 const BEFORE_RECLAIM: usize = 20;
 
-/// The notice given with the reclaim.
+/// Time between the reclaim notice and the reclaim.
 const NOTICE: Duration = Duration::from_millis(300);
 
 const PROMPT: &str = "What is a bogha báistí?";
@@ -60,19 +60,19 @@
     let (name, target) = if a.stats().open > 0 { ("a", b) } else { ("b", a) };
     println!("{BEFORE_RECLAIM} tokens have arrived from engine {name}; its box is reclaimed now");
     platform.reclaim(&format!("box-{name}"), NOTICE);
-    let answer = stream.finish().await;
+    let response = stream.finish().await;
 
-    ensure!(answer.complete, "the answer was cut off");
-    let text = answer.streamed_text();
-    ensure!(text == undisturbed, "the answer differs from an undisturbed one");
+    ensure!(response.complete, "the response is truncated");
+    let text = response.streamed_text();
+    ensure!(text == undisturbed, "the response differs from one without a reclaim");
     println!("\n{text}\n");
-    let moved = target.stats();
+    let target_stats = target.stats();
     println!(
-        "whole: the same {TOKENS} tokens as undisturbed; the other engine imported {} state and \
-         resumed {} stream, 0 tokens were computed again",
-        moved.imported, moved.resumed
+        "complete: the same {TOKENS} tokens as without a reclaim; the other engine imported {} \
+         state and resumed {} stream, 0 tokens were computed again",
+        target_stats.imported, target_stats.resumed
     );
-    ensure!(moved.continued == 0, "the state was computed again");
+    ensure!(target_stats.continued == 0, "the other engine computed the state again");
     if once {
         entry.stop().await;
         return Ok(());
