--- a/crates/vaneway-test-support/src/soak/mod.rs
+++ b/crates/vaneway-test-support/src/soak/mod.rs
@@ -1,13 +1,13 @@
-//! A randomized soak: real processes under faults from outside them, and what callers and endpoints then saw,
-//! held against the promises.
+//! A randomized soak test: real processes under faults injected from outside, and a check of the
+//! requests seen by callers and endpoints against the guarantees of the system.
 //!
-//! Data flow: a seed gives a plan of faults ([`plan`]), always the same. [`run`] starts control and entry boxes
-//! before stand-in endpoints behind proxies ([`world`]), lets callers send requests of every kind all the time
-//! ([`callers`]), carries the plan out, ends all faults, waits until every entry box serves again, and collects
-//! every broken promise ([`promises`]).
+//! Data flow: a seed determines a plan of faults ([`plan`]). [`run`] starts control boxes, entry
+//! boxes and stand-in endpoints behind proxies ([`world`]), lets callers continuously send requests
+//! of every kind ([`callers`]), executes the plan, ends all faults, waits until every entry box
+//! serves again, and collects every violation of a guarantee ([`promises`]).
 //!
-//! What it does not do yet: lose disks, step clocks, cut the boxes from each other, kept connections
-//! of callers, quotas, duties.
+//! Not covered yet: lost disks, clock steps, partitions between boxes, persistent connections of
+//! callers, quotas, leader duties.
 
 pub mod callers;
 pub mod plan;
@@ -24,26 +24,26 @@
 use crate::soak::promises::Evidence;
 use crate::soak::world::World;
 
-/// What one run found.
+/// The result of one run.
 #[derive(Debug)]
 pub struct Report {
-    /// Every broken promise.
+    /// Every violation of a guarantee, as a message.
     pub violations: Vec<String>,
-    /// Requests that callers sent.
+    /// Number of requests sent by callers.
     pub requests: usize,
-    /// Those that were answered whole with success.
+    /// Number of requests that received a complete response with status 200.
     pub served: usize,
-    /// Requests by kind and status; 0 stands for no answer.
+    /// Number of requests by kind and status; status 0 stands for no complete response.
     pub outcomes: BTreeMap<(String, u16), usize>,
-    /// What the processes logged, each with its name.
+    /// Log of each process, with the process's name.
     pub logs: Vec<(String, String)>,
 }
 
-/// Runs the plan of `seed`, in which faults begin for `time`.
+/// Runs the plan of `seed`, in which new faults begin for `time`.
 ///
 /// # Panics
 ///
-/// If the deployment does not come up, or does not serve again after the faults.
+/// If the deployment does not start, or does not serve again after the faults.
 pub fn run(program: &Path, seed: u64, time: Duration) -> Report {
     let mut steps = plan::plan(seed, time);
     steps.extend(plan::limits(seed));
@@ -59,20 +59,20 @@
     }
     world.heal();
     world.wait_until_configured();
-    // Limits bind all boxes only now.
+    // All entry boxes must keep the limits only after `BINDING_DELAY`; one window more is counted.
     std::thread::sleep(limits::BINDING_DELAY + limits::COUNTING_WINDOW);
-    let calls = callers.finish();
-    let evidence = Evidence { calls: &calls, world: &world };
+    let requests = callers.finish();
+    let evidence = Evidence { requests: &requests, world: &world };
     let mut outcomes = BTreeMap::new();
-    for call in &calls {
-        let status = call.answer.as_ref().map_or(0, |answer| answer.status);
-        *outcomes.entry((format!("{:?}", call.kind), status)).or_default() += 1;
+    for request in &requests {
+        let status = request.response.as_ref().map_or(0, |response| response.status);
+        *outcomes.entry((format!("{:?}", request.kind), status)).or_default() += 1;
     }
     Report {
         outcomes,
         violations: promises::violations(&evidence),
-        requests: calls.len(),
-        served: calls.iter().filter(|call| call.is_served()).count(),
+        requests: requests.len(),
+        served: requests.iter().filter(|request| request.is_served()).count(),
         logs: world.logs(),
     }
 }
--- a/crates/vaneway-test-support/src/soak/plan.rs
+++ b/crates/vaneway-test-support/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of faults that a seed gives.
+//! The plan of faults, determined by a seed.
 
 use std::time::Duration;
 
@@ -8,90 +8,94 @@
 
 use crate::wire_endpoint::Behaviour;
 
-/// Control boxes of a run.
+/// Number of control boxes of a run.
 pub const CONTROL_BOXES: usize = 3;
 
-/// Entry boxes of a run.
+/// Number of entry boxes of a run.
 pub const ENTRY_BOXES: usize = 2;
 
-/// Endpoints that serve at a time.
+/// Number of endpoints that serve at the same time.
 pub const ENDPOINTS: usize = 3;
 
-/// Longest time that a fault lasts.
-const LASTS_MOST_MS: u64 = 1_200;
+/// Upper bound of a fault's duration.
+const MAX_FAULT_MS: u64 = 1_200;
 
-/// Mean time between the beginnings of two faults, so that several overlap.
-const BETWEEN_MS: u64 = 350;
+/// Mean time between the beginnings of two faults; short enough that faults overlap.
+const MEAN_FAULT_INTERVAL_MS: u64 = 350;
 
-/// Something that the plan does at a time.
+/// A fault that begins or ends, or another change to the deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// Kills an entry box.
     KillEntry(usize),
-    /// Starts an entry box unless it runs.
+    /// Starts an entry box unless it is running.
     StartEntry(usize),
-    /// Stops an entry box as planned work does.
+    /// Stops an entry box gracefully, by SIGTERM.
     StopEntry(usize),
-    /// Stops the scheduling of an entry box, or lets it go on.
+    /// Pauses (true) or resumes the process of an entry box, by SIGSTOP and SIGCONT.
     PauseEntry(usize, bool),
     /// Kills a control box.
     KillControl(usize),
-    /// Starts a control box unless it runs.
+    /// Starts a control box unless it is running.
     StartControl(usize),
-    /// Stops the scheduling of a control box, or lets it go on.
+    /// Pauses (true) or resumes the process of a control box, by SIGSTOP and SIGCONT.
     PauseControl(usize, bool),
-    /// Changes what an endpoint does with requests.
+    /// Changes how an endpoint handles requests.
     Behave(usize, Behaviour),
-    /// Resets an endpoint's connections and refuses new ones, or ceases to.
+    /// Resets an endpoint's connections and closes new ones (true), or ceases to.
     Cut(usize, bool),
-    /// Lets nothing pass to and from an endpoint while its connections stay open, or ceases to.
+    /// Forwards nothing to and from an endpoint while its connections stay open (true), or ceases
+    /// to.
     Freeze(usize, bool),
     /// Delays all bytes to and from an endpoint.
     Delay(usize, Duration),
-    /// Puts the next configuration in force.
+    /// Sends the next version of the configuration.
     Configure,
-    /// Puts a configuration in force that has so many routes more from now on.
+    /// Sends the next version of the configuration, with this many more routes from now on.
     AddRoutes(usize),
-    /// Lets an endpoint say that it leaves, and another take its place.
+    /// Makes an endpoint announce that it is leaving, and starts another in its place.
     Drain(usize),
-    /// Lets an endpoint name so many requests a second as its limit from now on.
+    /// Makes an endpoint advertise a limit in requests per second from now on.
     AdvertiseLimit(usize, &'static str),
-    /// Lets an endpoint ask for so many seconds of rest in its refusals from now on, or for none.
+    /// Makes an endpoint request a back-off of this many seconds in its refusals from now on, or
+    /// none.
     RequestBackOff(usize, Option<&'static str>),
 }
 
-/// An action with its time from the beginning.
+/// An action at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Step {
-    /// When.
+    /// Time since the beginning of the run.
     pub at: Duration,
-    /// What.
+    /// What to do.
     pub action: Action,
 }
 
-/// The steps of a seed, by time; faults begin within `time`, and each ends.
+/// The faults of a seed as steps, ordered by time. Faults begin within `time`; each one that lasts
+/// also ends.
 pub fn plan(seed: u64, time: Duration) -> Vec<Step> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut steps = Vec::new();
-    let mut at = Duration::from_millis(rng.random_range(0..BETWEEN_MS));
+    let mut at = Duration::from_millis(rng.random_range(0..MEAN_FAULT_INTERVAL_MS));
     while at < time {
-        let end = at + Duration::from_millis(rng.random_range(50..LASTS_MOST_MS));
+        let end = at + Duration::from_millis(rng.random_range(50..MAX_FAULT_MS));
         let (begins, ends) = fault(&mut rng);
         steps.extend(begins.into_iter().map(|action| Step { at, action }));
         steps.extend(ends.into_iter().map(|action| Step { at: end, action }));
-        at += Duration::from_millis(rng.random_range(0..2 * BETWEEN_MS));
+        at += Duration::from_millis(rng.random_range(0..2 * MEAN_FAULT_INTERVAL_MS));
     }
     steps.sort_by_key(|step| step.at);
     steps
 }
 
-/// Limits that endpoints name, in requests a second.
+/// Limits that endpoints advertise, in requests per second.
 const LIMITS: [&str; 4] = ["0.2", "1", "1.5", "6"];
 
-/// Sets the limits' random numbers apart from the faults', so that these are what they were without limits.
+/// Separates the random numbers of limits from those of faults, so that adding limits left the
+/// faults of each seed unchanged.
 const LIMITS_STREAM: u64 = 0x4C49_4D49_5453;
 
-/// The limits of a seed: one endpoint, or two, soon after the beginning.
+/// The limits of a seed: one or two endpoints advertise one within the first second.
 pub fn limits(seed: u64) -> Vec<Step> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ LIMITS_STREAM);
     let first = rng.random_range(0..ENDPOINTS);
@@ -106,24 +110,25 @@
     limits
 }
 
-/// Rests that endpoints ask for, in seconds.
-const RESTS: [&str; 3] = ["1", "1.5", "3"];
+/// Back-offs that endpoints request, in seconds.
+const BACK_OFFS: [&str; 3] = ["1", "1.5", "3"];
 
-/// Sets the rests' random numbers apart from the faults'.
-const RESTS_STREAM: u64 = 0x5245_5354;
+/// Separates the random numbers of back-offs from those of faults.
+const BACK_OFFS_STREAM: u64 = 0x5245_5354;
 
-/// The rests of a seed within `time`: now and then an endpoint turns all away and asks for rest.
+/// The back-offs of a seed within `time`: every 0.5 to 2.5 s an endpoint begins to refuse all
+/// requests and to request a back-off.
 pub fn back_offs(seed: u64, time: Duration) -> Vec<Step> {
-    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ RESTS_STREAM);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ BACK_OFFS_STREAM);
     let mut steps = Vec::new();
     let mut at = Duration::from_millis(rng.random_range(0..1_000));
     while at < time {
         let endpoint = rng.random_range(0..ENDPOINTS);
-        let rest = RESTS[rng.random_range(0..RESTS.len())];
-        let end = at + Duration::from_millis(rng.random_range(50..LASTS_MOST_MS));
+        let back_off = BACK_OFFS[rng.random_range(0..BACK_OFFS.len())];
+        let end = at + Duration::from_millis(rng.random_range(50..MAX_FAULT_MS));
         let step = |at, action| Step { at, action };
         steps.extend([
-            step(at, Action::RequestBackOff(endpoint, Some(rest))),
+            step(at, Action::RequestBackOff(endpoint, Some(back_off))),
             step(at, Action::Behave(endpoint, Behaviour::Refuse)),
             step(end, Action::Behave(endpoint, Behaviour::Steady)),
             step(end, Action::RequestBackOff(endpoint, None)),
@@ -134,16 +139,17 @@
     steps
 }
 
-/// Routes by which a configuration grows, up to those of the users' large ones.
-const ROUTES: [usize; 3] = [20, 350, 1_400];
+/// Numbers of routes by which the configuration grows, up to the size of users' large ones.
+const ADDED_ROUTES: [usize; 3] = [20, 350, 1_400];
 
-/// Sets the configurations' random numbers apart from the faults'.
+/// Separates the random numbers of configurations from those of faults.
 const CONFIGURATIONS_STREAM: u64 = 0x434F_4E46_4947;
 
-/// The configurations of a seed within `time`: it grows at the beginning, then a series of changes.
+/// The configurations of a seed within `time`: one with more routes at the beginning, then a series
+/// of changes.
 pub fn configurations(seed: u64, time: Duration) -> Vec<Step> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ CONFIGURATIONS_STREAM);
-    let routes = ROUTES[rng.random_range(0..ROUTES.len())];
+    let routes = ADDED_ROUTES[rng.random_range(0..ADDED_ROUTES.len())];
     let mut at = Duration::from_millis(rng.random_range(0..1_000));
     let mut steps = vec![Step { at, action: Action::AddRoutes(routes) }];
     at += Duration::from_millis(rng.random_range(0..1_000));
@@ -154,7 +160,7 @@
     steps
 }
 
-/// The actions with which a fault begins and ends.
+/// A random fault: the actions that begin it and those that end it.
 fn fault(rng: &mut Pcg64Mcg) -> (Vec<Action>, Vec<Action>) {
     let entry = rng.random_range(0..ENTRY_BOXES);
     let control = rng.random_range(0..CONTROL_BOXES);
--- a/crates/vaneway-test-support/src/soak/promises.rs
+++ b/crates/vaneway-test-support/src/soak/promises.rs
@@ -1,4 +1,4 @@
-//! The promises, held against what callers and endpoints saw.
+//! Checks the requests seen by callers and endpoints against the guarantees of the system.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,147 +12,164 @@
 use crate::soak::world::LimitedEndpoint;
 use crate::soak::world::World;
 
-/// Statuses that say that the request did not run and never will.
+/// Statuses that state that the request did not run and never will.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
-/// Endpoints that one request may reach, as the routes say.
-const ATTEMPTS_MOST: u32 = 2;
+/// Maximum number of endpoints that may run one request: `max_attempts` of the routes.
+const MAX_ATTEMPTS: u32 = 2;
 
-/// Time after which an endpoint that said that it leaves gets nothing new, for entry boxes that were paused.
-const MARK_WITHIN: Duration = Duration::from_secs(3);
+/// Time after its acknowledged announcement after which a leaving endpoint must not receive new
+/// requests; it covers entry boxes that were paused meanwhile.
+const MARK_DEADLINE: Duration = Duration::from_secs(3);
 
-/// Time after an endpoint asked for rest in which what was on its way may still arrive.
-const ON_ITS_WAY: Duration = Duration::from_millis(500);
+/// Time after a back-off request in which requests in flight may still arrive.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
-/// Requests that operators allow from one entry box while an endpoint rests.
-const IN_REST_MOST: usize = 2;
+/// Maximum number of requests that operators accept from one entry box during a back-off.
+const MAX_IN_BACK_OFF: usize = 2;
 
-/// Longest time for which a proxy holds a request up.
-const HELD_UP_MOST: Duration = Duration::from_millis(1_300);
+/// Upper bound of the time for which a proxy delays a request.
+const MAX_PROXY_DELAY: Duration = Duration::from_millis(1_300);
 
-/// What callers saw, and what the deployment knows.
+/// The requests of callers, and the deployment with the requests of endpoints.
 #[derive(Debug)]
 pub struct Evidence<'a> {
-    /// All requests.
-    pub calls: &'a [CallerRequest],
-    /// The deployment after its faults.
+    /// All requests of callers.
+    pub requests: &'a [CallerRequest],
+    /// The deployment after the faults.
     pub world: &'a World,
 }
 
-/// Every broken promise, in words.
+/// Every violation of a guarantee, as a message.
 pub fn violations(evidence: &Evidence<'_>) -> Vec<String> {
     let world = evidence.world;
-    let mut broken = Vec::new();
-    for call in evidence.calls {
-        let runs = world.runs(&call.id);
+    let mut violations = Vec::new();
+    for request in evidence.requests {
+        let runs = world.runs(&request.id);
         let found = [
-            whole_answer(call),
-            runs_in_bounds(call, runs),
-            refusal(call, runs),
-            answered(call, world),
+            complete_response(request),
+            runs_in_bounds(request, runs),
+            refusal(request, runs),
+            responded(request, world),
         ];
-        broken.extend(
-            found.into_iter().flatten().map(|what| format!("{} {:?}: {what}", call.id, call.kind)),
+        violations.extend(
+            found
+                .into_iter()
+                .flatten()
+                .map(|what| format!("{} {:?}: {what}", request.id, request.kind)),
         );
     }
-    broken.extend(marks(world));
-    broken.extend(named_limits(evidence));
-    broken.extend(rests(evidence));
-    broken.extend(configuration(world));
-    broken
+    violations.extend(marks(world));
+    violations.extend(advertised_limits(evidence));
+    violations.extend(back_offs(evidence));
+    violations.extend(configuration(world));
+    violations
 }
 
-/// Whoever gets success gets the whole answer to its own request.
-fn whole_answer(call: &CallerRequest) -> Option<String> {
-    let answer = call.answer.as_ref().filter(|answer| answer.status == 200)?;
-    let body = String::from_utf8_lossy(&answer.body);
-    (body != call.expected_body()).then(|| format!("success with another body: {body:?}"))
+/// A response with status 200 is the complete response to its own request.
+fn complete_response(request: &CallerRequest) -> Option<String> {
+    let response = request.response.as_ref().filter(|response| response.status == 200)?;
+    let body = String::from_utf8_lossy(&response.body);
+    (body != request.expected_body()).then(|| format!("status 200 with another body: {body:?}"))
 }
 
-/// What may not be repeated runs once at most, and nothing reaches more endpoints than its route says.
-fn runs_in_bounds(call: &CallerRequest, runs: u32) -> Option<String> {
-    let most = if call.kind.may_repeat() { ATTEMPTS_MOST } else { 1 };
-    (runs > most).then(|| format!("ran {runs} times"))
+/// A request that is not repeatable runs at most once, and no request runs at more endpoints than
+/// its route allows.
+fn runs_in_bounds(request: &CallerRequest, runs: u32) -> Option<String> {
+    let max_runs = if request.kind.may_repeat() { MAX_ATTEMPTS } else { 1 };
+    (runs > max_runs).then(|| format!("ran {runs} times, at most {max_runs} allowed"))
 }
 
-/// A refusal that says that the request did not run is true.
-fn refusal(call: &CallerRequest, runs: u32) -> Option<String> {
-    let status = call.answer.as_ref()?.status;
+/// A request whose refusal states that it did not run has not run.
+fn refusal(request: &CallerRequest, runs: u32) -> Option<String> {
+    let status = request.response.as_ref()?.status;
     (NOT_RUN.contains(&status) && runs > 0)
         .then(|| format!("refused with {status}, but ran {runs} times"))
 }
 
-/// An entry box that is not killed answers what it takes, also while it stops as planned.
-fn answered(call: &CallerRequest, world: &World) -> Option<String> {
-    let owed = matches!(call.kind, Kind::Repeatable | Kind::Once);
-    if !owed || call.answer.is_some() {
+/// An entry box that is not killed responds to every request that it accepts, also during a
+/// graceful stop.
+fn responded(request: &CallerRequest, world: &World) -> Option<String> {
+    let expected = matches!(request.kind, Kind::Repeatable | Kind::Once);
+    if !expected || request.response.is_some() {
         return None;
     }
-    let up = world.was_up(call.entry, call.sent, call.ended);
-    up.then(|| format!("no answer of entry box {}, which was up", call.entry))
+    let up = world.was_up(request.entry, request.sent, request.ended);
+    up.then(|| format!("no response from entry box {}, which was running", request.entry))
 }
 
-/// Endpoints that said that they leave get nothing new after a while.
+/// Leaving endpoints receive no new requests after `MARK_DEADLINE`.
 fn marks(world: &World) -> Vec<String> {
     let late = world.drained().filter_map(|(name, acknowledged, arrived)| {
         let after = arrived?.checked_duration_since(acknowledged)?;
-        (after > MARK_WITHIN)
-            .then(|| format!("{name} got a request {after:?} after it said that it leaves"))
+        (after > MARK_DEADLINE)
+            .then(|| format!("{name} received a request {after:?} after it announced leaving"))
     });
     late.collect()
 }
 
-/// The entry box that each request was sent to, by its id.
+/// The entry box to which each request was sent, by request id.
 fn entry_of_each<'a>(evidence: &Evidence<'a>) -> BTreeMap<&'a str, usize> {
-    evidence.calls.iter().map(|call| (call.id.as_str(), call.entry)).collect()
+    evidence.requests.iter().map(|request| (request.id.as_str(), request.entry)).collect()
 }
 
-/// Endpoints that name limits get what operators allow, from entry boxes that nothing was done to of late.
-fn named_limits(evidence: &Evidence<'_>) -> Vec<String> {
+/// Endpoints that advertise limits receive no more than operators accept. Requests from entry boxes
+/// that were disturbed recently do not count.
+fn advertised_limits(evidence: &Evidence<'_>) -> Vec<String> {
     let entry_of = entry_of_each(evidence);
     let over = evidence.world.limited().into_iter().filter_map(|limited| {
         let counts = |(at, id): &&(Instant, String)| {
             let entry = entry_of.get(id.as_str());
-            let calm = |entry| !evidence.world.was_disturbed(entry, *at, limits::BINDING_DELAY);
-            *at >= limited.since + limits::BINDING_DELAY && entry.is_some_and(|entry| calm(*entry))
+            let undisturbed =
+                |entry| !evidence.world.was_disturbed(entry, *at, limits::BINDING_DELAY);
+            *at >= limited.since + limits::BINDING_DELAY
+                && entry.is_some_and(|entry| undisturbed(*entry))
         };
         let counted: Vec<Instant> =
             limited.arrivals.iter().filter(counts).map(|(at, _)| *at).collect();
-        let most = limits::max_in_window(&counted);
+        let max_received = limits::max_in_window(&counted);
         let LimitedEndpoint { name, rate, .. } = limited;
-        (most as f64 > limits::max_allowed(rate)).then(|| {
-            format!("{name} named {rate} requests a second and got {most} in {COUNTING_WINDOW:?}")
+        (max_received as f64 > limits::max_allowed(rate)).then(|| {
+            format!(
+                "{name} advertised {rate} requests per second and received {max_received} \
+                 in {COUNTING_WINDOW:?}"
+            )
         })
     });
     over.collect()
 }
 
-/// Endpoints that ask an entry box for rest get what operators allow from it meanwhile, unless something was done to it since.
-fn rests(evidence: &Evidence<'_>) -> Vec<String> {
+/// Endpoints that request a back-off of an entry box receive no more from it during the back-off
+/// than operators accept, unless the entry box was disturbed during the back-off or shortly before.
+fn back_offs(evidence: &Evidence<'_>) -> Vec<String> {
     let entry_of = entry_of_each(evidence);
-    let over = evidence.world.back_offs(HELD_UP_MOST).into_iter().filter_map(|rested| {
-        let BackOff { name, from, rest, id, arrivals } = rested;
+    let over = evidence.world.back_offs(MAX_PROXY_DELAY).into_iter().filter_map(|back_off| {
+        let BackOff { name, from, duration, id, arrivals } = back_off;
         let entry = *entry_of.get(id.as_str())?;
-        if evidence.world.was_disturbed(entry, from + rest, rest + HELD_UP_MOST) {
+        if evidence.world.was_disturbed(entry, from + duration, duration + MAX_PROXY_DELAY) {
             return None;
         }
         let of_entry = |(at, id): &&(Instant, String)| {
-            *at > from + ON_ITS_WAY && entry_of.get(id.as_str()) == Some(&entry)
+            *at > from + IN_FLIGHT_TIME && entry_of.get(id.as_str()) == Some(&entry)
         };
-        let got = arrivals.iter().filter(of_entry).count();
-        (got > IN_REST_MOST).then(|| {
-            format!("{name} asked entry box {entry} for {rest:?} of rest and got {got} requests")
+        let received = arrivals.iter().filter(of_entry).count();
+        (received > MAX_IN_BACK_OFF).then(|| {
+            format!(
+                "{name} requested {duration:?} of back-off from entry box {entry} \
+                 and received {received} requests"
+            )
         })
     });
     over.collect()
 }
 
-/// An acknowledged configuration is kept, none older takes its place, and it is what was sent.
+/// An acknowledged configuration is not lost or replaced by an older one, and it is read as it was
+/// sent.
 fn configuration(world: &World) -> Option<String> {
     let (read, acknowledged) = (world.current_version(), world.acknowledged_version());
     if read < acknowledged {
-        return Some(format!("configuration {acknowledged} was acknowledged, {read} is read"));
+        return Some(format!("configuration {acknowledged} was acknowledged, but {read} is read"));
     }
     (!world.is_configuration_as_sent())
-        .then(|| format!("configuration {read} is not as it was sent"))
+        .then(|| format!("configuration {read} is read with other content than was sent"))
 }
--- a/crates/vaneway-test-support/src/wire_endpoint.rs
+++ b/crates/vaneway-test-support/src/wire_endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an endpoint of the users' platform, by its published protocol.
+//! A stand-in for an endpoint that uses the published protocol of the users' platform.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -22,36 +22,36 @@
 use crate::server;
 use crate::standin::Standin;
 
-/// What the endpoint does with requests.
+/// How the endpoint handles requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Runs and answers them.
+    /// Runs requests and responds.
     #[default]
     Respond,
-    /// Says that it did not run them.
+    /// Refuses requests with 503 and states that it did not run them.
     Refuse,
-    /// Runs them and answers with 500.
+    /// Runs requests and responds with 500.
     Fail,
-    /// Runs them and breaks the connection in place of an answer.
+    /// Runs requests and breaks the connection instead of sending the response.
     LoseResponse,
-    /// Runs them and answers as if to another request.
+    /// Runs requests and responds with the id of another request.
     RespondToAnother,
-    /// Breaks streams off in the middle of the event after this one.
+    /// Truncates streams in the middle of the event that follows this one.
     TruncateAfter(u32),
-    /// Begins streams and never goes on.
+    /// Sends the first event of streams and then nothing, with the connection left open.
     Hang,
-    /// Runs streams and answers with 500 and a body that comes piece by piece.
+    /// Runs streams and responds with 500 and a chunked body.
     FailStream,
-    /// Begins streams and breaks the connection before the first event.
+    /// Begins streams and breaks the connection before the first event is complete.
     CloseBeforeEvent,
-    /// Answers streams event by event, with a pause before each.
+    /// Sends streams event by event, at a fixed interval.
     Steady,
 }
 
-/// A request as the endpoint got it.
+/// A request as the endpoint received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReceivedRequest {
-    /// When it came.
+    /// When it arrived.
     pub at: Instant,
     /// Method and path.
     pub line: String,
@@ -59,30 +59,30 @@
     pub headers: BTreeMap<String, String>,
     /// The body.
     pub body: String,
-    /// The rest that its refusal asked for, if it was refused so.
-    pub rest: Option<Duration>,
+    /// The back-off that its refusal requested, if it was refused with one.
+    pub back_off: Option<Duration>,
 }
 
-/// What its answers say of itself.
+/// What the endpoint's responses announce.
 #[derive(Debug, Clone, Default)]
-struct Says {
-    /// Requests a second that it takes from all entry boxes together.
+struct Announcements {
+    /// Limit in requests per second for all entry boxes together.
     limit: Option<String>,
-    /// Seconds for which it wants nothing from the box that it refuses.
-    rest: Option<String>,
-    /// That it leaves.
+    /// Back-off in seconds that refusals request from the entry box that they go to.
+    back_off: Option<String>,
+    /// Whether the endpoint is leaving.
     leaving: bool,
 }
 
-impl Says {
+impl Announcements {
     fn add_to(&self, response: &mut Response<ResponseBody>) {
         let refused = response.headers().contains_key("x-not-run");
-        let words = [
+        let headers = [
             ("server-limit", self.limit.as_deref()),
-            ("retry-after", self.rest.as_deref().filter(|_| refused)),
+            ("retry-after", self.back_off.as_deref().filter(|_| refused)),
             ("server-leaving", self.leaving.then_some("1")),
         ];
-        for (name, value) in words {
+        for (name, value) in headers {
             if let Some(value) = value {
                 let value = value.parse().expect("valid header value");
                 response.headers_mut().insert(name, value);
@@ -94,22 +94,24 @@
 #[derive(Debug, Default)]
 struct State {
     behaviour: Behaviour,
-    says: Says,
-    seen: Vec<ReceivedRequest>,
+    announcements: Announcements,
+    received: Vec<ReceivedRequest>,
+    /// Number of runs by request id.
     runs: BTreeMap<String, u32>,
-    /// Ends it; none once it has ended.
-    end: Option<oneshot::Sender<()>>,
+    /// Crashes the endpoint when dropped; none once it has crashed.
+    crash: Option<oneshot::Sender<()>>,
 }
 
-/// Header of a request that ends the endpoint which runs it, as the crash of its process would; with the value `late`
-/// its connection breaks first and the endpoint listens 5 ms more.
+/// Header of a request that makes the endpoint that runs it crash. With the value `late`, the
+/// request's connection breaks first and the endpoint listens for 5 ms more.
 pub const CRASH_HEADER: &str = "x-ends-endpoint";
 
-/// Time between a connection's end and the listening socket's where a process dies: its system closes one after another.
-const LISTENS_FOR: Duration = Duration::from_millis(5);
+/// Time between the close of a connection and that of the listening socket when a process crashes:
+/// the operating system closes its sockets one after the other.
+const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(5);
 
-/// A running endpoint. Requests with `x-token-usage` are answered with a stream of ten numbered
-/// events, others with their own body.
+/// A running endpoint. The response to a request with `x-token-usage` is a stream of ten numbered
+/// events; other requests are echoed.
 #[derive(Debug)]
 pub struct WireEndpoint {
     standin: Standin,
@@ -117,13 +119,13 @@
     state: Arc<Mutex<State>>,
 }
 
-/// Events of a whole stream.
-pub const EVENTS: u32 = 10;
+/// Number of events in a complete stream.
+pub const EVENTS_PER_STREAM: u32 = 10;
 
-/// Pause before each event of a steady stream.
-const EVENT_EVERY: Duration = Duration::from_millis(40);
+/// Interval between the events of a steady stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Bytes that wait for a slow reader.
+/// Bytes of a stream that may be buffered for its reader.
 const STREAM_BYTES: usize = 64 << 10;
 
 fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
@@ -131,79 +133,80 @@
 }
 
 impl WireEndpoint {
-    /// Starts an endpoint with this id.
+    /// Starts an endpoint with the given instance id.
     pub fn spawn(instance: &str) -> Self {
-        let (end, ended) = oneshot::channel();
-        let state = Arc::new(Mutex::new(State { end: Some(end), ..State::default() }));
-        let (theirs, id) = (Arc::clone(&state), instance.to_owned());
+        let (crash, crashed) = oneshot::channel();
+        let state = Arc::new(Mutex::new(State { crash: Some(crash), ..State::default() }));
+        let (shared, id) = (Arc::clone(&state), instance.to_owned());
         let standin = Standin::spawn("wire-endpoint", move |listener| {
             let serving =
-                server::serve(listener, move |req| handle(Arc::clone(&theirs), id.clone(), req));
+                server::serve(listener, move |req| handle(Arc::clone(&shared), id.clone(), req));
             async move {
                 futures_util::pin_mut!(serving);
-                select(serving, ended).await;
+                select(serving, crashed).await;
             }
         });
         Self { standin, instance: instance.to_owned(), state }
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.standin.address()
     }
 
-    /// Changes what it does.
+    /// Sets how further requests are handled.
     pub fn behave(&self, behaviour: Behaviour) {
         lock(&self.state).behaviour = behaviour;
     }
 
-    /// Names a limit in all further answers, or none.
+    /// Sets the limit that all further responses advertise, or none.
     pub fn advertise_limit(&self, limit: Option<&str>) {
-        lock(&self.state).says.limit = limit.map(str::to_owned);
+        lock(&self.state).announcements.limit = limit.map(str::to_owned);
     }
 
-    /// Asks for rest in all further refusals, or for none.
+    /// Sets the back-off that all further refusals request, or none.
     pub fn request_back_off(&self, seconds: Option<&str>) {
-        lock(&self.state).says.rest = seconds.map(str::to_owned);
+        lock(&self.state).announcements.back_off = seconds.map(str::to_owned);
     }
 
-    /// Says in all further answers that it leaves.
+    /// Announces in all further responses that the endpoint is leaving.
     pub fn announce_leaving(&self) {
-        lock(&self.state).says.leaving = true;
+        lock(&self.state).announcements.leaving = true;
     }
 
-    /// The requests that it got.
+    /// The requests received.
     pub fn received(&self) -> Vec<ReceivedRequest> {
-        lock(&self.state).seen.clone()
+        lock(&self.state).received.clone()
     }
 
-    /// Whether a request has ended it.
+    /// Whether a request with [`CRASH_HEADER`] has made it crash.
     pub fn has_crashed(&self) -> bool {
-        lock(&self.state).end.is_none()
+        lock(&self.state).crash.is_none()
     }
 
-    /// When a request last arrived, if one ever did.
+    /// When the last request arrived; none if none has.
     pub fn last_arrival(&self) -> Option<Instant> {
-        lock(&self.state).seen.last().map(|seen| seen.at)
+        lock(&self.state).received.last().map(|received| received.at)
     }
 
-    /// How often it ran the request with this id.
+    /// Number of runs of the request with this id.
     pub fn runs(&self, id: &str) -> u32 {
         lock(&self.state).runs.get(id).copied().unwrap_or_default()
     }
 
-    /// A heartbeat's path and body.
+    /// Path and body of a heartbeat.
     pub fn heartbeat(&self, service: &str, state: &str, seq: u64) -> (String, String) {
         self.heartbeat_with_address(self.address(), service, state, seq)
     }
 
-    /// The same with the Unix millisecond in which this incarnation was born.
+    /// Path and body of a heartbeat with the start time of this incarnation (`born`) in Unix
+    /// milliseconds.
     pub fn heartbeat_with_start(&self, service: &str, born: u64, seq: u64) -> (String, String) {
         let (path, body) = self.heartbeat(service, "ready", seq);
         (path, body.replacen('{', &format!(r#"{{"born":{born},"#), 1))
     }
 
-    /// The same with the address of a proxy before it.
+    /// Path and body of a heartbeat with the address of a proxy in front of the endpoint.
     pub fn heartbeat_with_address(
         &self,
         address: SocketAddr,
@@ -218,9 +221,9 @@
     }
 }
 
-/// The whole stream behind `after`.
+/// The events of a complete stream that follow event `after`.
 pub fn events(after: u32) -> String {
-    (after + 1..=EVENTS).fold(String::new(), |mut events, i| {
+    (after + 1..=EVENTS_PER_STREAM).fold(String::new(), |mut events, i| {
         write!(events, "id: {i}\ndata: piece {i}\n\n").expect("writing to a string does not fail");
         events
     })
@@ -240,104 +243,105 @@
     let body = server::read(req.into_body()).await;
     let id = headers.get("x-request-id").cloned().unwrap_or_default();
     let expected = headers.get("x-expect-instance").is_none_or(|expected| *expected == instance);
-    let streamed = headers.contains_key("x-token-usage");
+    let is_stream = headers.contains_key("x-token-usage");
     let after = headers.get("last-event-id").and_then(|after| after.parse().ok()).unwrap_or(0);
-    let ends_by = headers.get(CRASH_HEADER).cloned();
-    let (behaviour, says) = {
+    let crash_mode = headers.get(CRASH_HEADER).cloned();
+    let (behaviour, announcements) = {
         let mut state = lock(&state);
         let body = String::from_utf8_lossy(&body).into_owned();
         let refuses = expected && state.behaviour == Behaviour::Refuse;
-        let rest = state.says.rest.as_ref().filter(|_| refuses);
-        let rest = rest.and_then(|rest| rest.parse().ok()).map(Duration::from_secs_f64);
-        state.seen.push(ReceivedRequest { at: Instant::now(), line, headers, body, rest });
+        let back_off = state.announcements.back_off.as_ref().filter(|_| refuses);
+        let back_off =
+            back_off.and_then(|seconds| seconds.parse().ok()).map(Duration::from_secs_f64);
+        state.received.push(ReceivedRequest { at: Instant::now(), line, headers, body, back_off });
         if expected && state.behaviour != Behaviour::Refuse {
             *state.runs.entry(id.clone()).or_default() += 1;
         }
-        (state.behaviour, state.says.clone())
+        (state.behaviour, state.announcements.clone())
     };
     if !expected {
-        return answer(
+        return respond(
             StatusCode::MISDIRECTED_REQUEST,
             &id,
             &instance,
             ResponseBody::full(Bytes::new()),
         );
     }
-    match ends_by.as_deref() {
+    match crash_mode.as_deref() {
         None => {}
         Some("late") => {
             compio::runtime::spawn(async move {
-                compio::time::sleep(LISTENS_FOR).await;
-                drop(lock(&state).end.take());
+                compio::time::sleep(LISTENER_CLOSE_DELAY).await;
+                drop(lock(&state).crash.take());
             })
             .detach();
             let (tx, rx) = outbox(STREAM_BYTES);
             drop(tx);
-            return answer(StatusCode::OK, &id, &instance, ResponseBody::Streamed(rx));
+            return respond(StatusCode::OK, &id, &instance, ResponseBody::Streamed(rx));
         }
         Some(_) => {
-            drop(lock(&state).end.take());
+            drop(lock(&state).crash.take());
             return std::future::pending().await;
         }
     }
     let mut response = match behaviour {
         Behaviour::Refuse => {
             let body = ResponseBody::full(Bytes::new());
-            let mut response = answer(StatusCode::SERVICE_UNAVAILABLE, &id, &instance, body);
+            let mut response = respond(StatusCode::SERVICE_UNAVAILABLE, &id, &instance, body);
             response.headers_mut().insert("x-not-run", "1".parse().expect("valid header value"));
             response
         }
         Behaviour::Fail => {
-            answer(StatusCode::INTERNAL_SERVER_ERROR, &id, &instance, ResponseBody::full(body))
+            respond(StatusCode::INTERNAL_SERVER_ERROR, &id, &instance, ResponseBody::full(body))
         }
         Behaviour::FailStream => {
             let (tx, rx) = outbox(STREAM_BYTES);
             tx.push(&body);
             tx.finish();
-            answer(StatusCode::INTERNAL_SERVER_ERROR, &id, &instance, ResponseBody::Streamed(rx))
+            respond(StatusCode::INTERNAL_SERVER_ERROR, &id, &instance, ResponseBody::Streamed(rx))
         }
         Behaviour::CloseBeforeEvent => {
             let (tx, rx) = outbox(STREAM_BYTES);
             tx.push(b"id: 1\n");
-            // Time for the head and a part of the event to arrive.
+            // Time for the response's head and a part of the event to arrive.
             compio::runtime::spawn(async move {
                 compio::time::sleep(std::time::Duration::from_millis(50)).await;
                 drop(tx);
             })
             .detach();
-            answer(StatusCode::OK, &id, &instance, ResponseBody::Streamed(rx))
+            respond(StatusCode::OK, &id, &instance, ResponseBody::Streamed(rx))
         }
         Behaviour::LoseResponse => {
             let (tx, rx) = outbox(STREAM_BYTES);
             drop(tx);
-            answer(StatusCode::OK, &id, &instance, ResponseBody::Streamed(rx))
+            respond(StatusCode::OK, &id, &instance, ResponseBody::Streamed(rx))
         }
         Behaviour::RespondToAnother => {
-            answer(StatusCode::OK, "another", &instance, ResponseBody::full(body))
+            respond(StatusCode::OK, "another", &instance, ResponseBody::full(body))
         }
         Behaviour::Respond | Behaviour::TruncateAfter(_) | Behaviour::Hang | Behaviour::Steady
-            if streamed =>
+            if is_stream =>
         {
-            answer(StatusCode::OK, &id, &instance, stream(behaviour, after))
+            respond(StatusCode::OK, &id, &instance, stream(behaviour, after))
         }
         Behaviour::Respond | Behaviour::TruncateAfter(_) | Behaviour::Hang | Behaviour::Steady => {
-            answer(StatusCode::OK, &id, &instance, ResponseBody::full(body))
+            respond(StatusCode::OK, &id, &instance, ResponseBody::full(body))
         }
     };
-    says.add_to(&mut response);
+    announcements.add_to(&mut response);
     response
 }
 
-/// The stream behind `after` of an endpoint that behaves so.
+/// A stream of the events that follow event `after`, sent according to `behaviour`.
 fn stream(behaviour: Behaviour, after: u32) -> ResponseBody {
     let (tx, rx) = outbox(STREAM_BYTES);
     match behaviour {
         Behaviour::TruncateAfter(last) if after < last => {
-            let whole = events(after);
+            let complete = events(after);
             let end = format!("id: {}\n", last + 1);
-            let cut = whole.find(&end).map_or(whole.len(), |at| at + end.len());
-            tx.push(&whole.as_bytes()[..cut]);
-            // Time for what was written to arrive; then the stream breaks off.
+            let cut = complete.find(&end).map_or(complete.len(), |at| at + end.len());
+            tx.push(&complete.as_bytes()[..cut]);
+            // Time for the written bytes to arrive before the connection breaks.
             compio::runtime::spawn(async move {
                 compio::time::sleep(std::time::Duration::from_millis(50)).await;
                 drop(tx);
@@ -354,7 +358,7 @@
         Behaviour::Steady => {
             compio::runtime::spawn(async move {
                 for event in events(after).split_inclusive("\n\n") {
-                    compio::time::sleep(EVENT_EVERY).await;
+                    compio::time::sleep(EVENT_INTERVAL).await;
                     tx.push(event.as_bytes());
                 }
                 tx.finish();
@@ -369,7 +373,7 @@
     ResponseBody::Streamed(rx)
 }
 
-fn answer(
+fn respond(
     status: StatusCode,
     id: &str,
     instance: &str,
