--- a/crates/vaneway-test-support/src/closed_port.rs
+++ b/crates/vaneway-test-support/src/closed_port.rs
@@ -1,4 +1,4 @@
-//! A port where nothing listens and nobody else can listen.
+//! A reserved port that refuses connections.
 
 use std::net::SocketAddr;
 
@@ -6,8 +6,9 @@
 use socket2::Socket;
 use socket2::Type;
 
-/// Holds a loopback port without listening, so that every connection to it is refused. The port
-/// of a stand-in that ended may be given to the next one, which would answer instead.
+/// A loopback port that is bound but not listened on, so that every connection to it is refused.
+/// The port of a stopped stand-in would not do: the system may assign it to the next stand-in,
+/// which would accept the connections.
 #[derive(Debug)]
 pub struct ClosedPort {
     _socket: Socket,
@@ -15,11 +16,11 @@
 }
 
 impl ClosedPort {
-    /// Takes a free port.
+    /// Binds a free port.
     ///
     /// # Panics
     ///
-    /// If there is none.
+    /// If no port can be bound.
     pub fn reserve() -> Self {
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
@@ -28,7 +29,7 @@
         Self { _socket: socket, address: address.expect("an IP address") }
     }
 
-    /// Where connections are refused.
+    /// The address that refuses connections.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/vaneway-test-support/src/deployment.rs
+++ b/crates/vaneway-test-support/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A short language for the setup of a test: replicas, services, and processes over them.
+//! A builder for the settings of an entry box with its services and replicas, and its process.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,13 +12,13 @@
 use crate::Caller;
 use crate::Process;
 
-/// The token of the organisation that [`Deployment::caller`] belongs to.
+/// The token of the organisation that [`Deployment::caller`] authenticates as.
 pub const TOKEN: &str = "token-of-teachers";
 
-/// The key that the boxes of a deployment share.
+/// The shared key that authenticates datagrams between the boxes of a deployment.
 pub const CLUSTER_KEY: &str = "a key between boxes";
 
-/// The model that the deployment's engines serve.
+/// The model served by the deployment's engines.
 pub const MODEL: &str = "scribe-1";
 
 /// Availability zones of the deployment.
@@ -38,7 +38,7 @@
         Self { name: name.to_owned(), address, zone: ZONES[0] }
     }
 
-    /// The same replica in another availability zone.
+    /// Sets the availability zone.
     #[must_use]
     pub fn in_zone(mut self, zone: &'static str) -> Self {
         self.zone = zone;
@@ -55,7 +55,7 @@
     }
 }
 
-/// Settings in the making, and a folder that lives as long.
+/// Settings of an entry box, and a temporary folder that is removed when this is dropped.
 #[derive(Debug)]
 pub struct Deployment {
     program: PathBuf,
@@ -68,7 +68,7 @@
     ///
     /// # Panics
     ///
-    /// If there is no place for temporary files.
+    /// If a temporary folder can't be created.
     pub fn new(program: impl AsRef<Path>) -> Self {
         let settings = json!({
             "name": "entry-1",
@@ -100,7 +100,7 @@
         }))
     }
 
-    /// Adds a plain service named `reading-room` whose payments may not be repeated.
+    /// Adds a plain service named `reading-room`, in which `POST /payments` is not repeatable.
     #[must_use]
     pub fn plain(self, replicas: &[Replica]) -> Self {
         self.service(json!({
@@ -114,11 +114,11 @@
         }))
     }
 
-    /// Adds a service as its settings say.
+    /// Adds a service with the given settings.
     ///
     /// # Panics
     ///
-    /// Never, for the settings that this type makes.
+    /// If [`Deployment::set`] has replaced `/services` by something other than an array.
     #[must_use]
     pub fn service(mut self, service: Value) -> Self {
         self.settings["services"].as_array_mut().expect("an array").push(service);
@@ -138,13 +138,13 @@
         self
     }
 
-    /// Follows the platform at `address`.
+    /// Reads the list of boxes and the notices of the platform at `address`.
     #[must_use]
     pub fn platform(self, address: SocketAddr) -> Self {
         self.set("/platform", json!({ "address": address, "list_every_ms": 50 }))
     }
 
-    /// Names this box and its peers, each with the address where its datagrams go.
+    /// Sets the name of this box and its peers, each with the address for its datagrams.
     #[must_use]
     pub fn cluster(self, name: &str, peers: &[(String, SocketAddr)]) -> Self {
         let peers: Vec<_> = peers
@@ -156,29 +156,29 @@
             .set("/peers", peers.into())
     }
 
-    /// The settings.
+    /// The settings of the entry box.
     pub fn settings(&self) -> &Value {
         &self.settings
     }
 
-    /// The folder for files of this deployment.
+    /// The temporary folder for the files of this deployment.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Starts the entry as a real process.
+    /// Starts the entry box as a real process.
     pub fn start(&self) -> Process {
         Process::spawn(&self.program, self.folder.path(), &self.settings)
     }
 
-    /// A caller of the entry.
+    /// A client of the entry box.
     pub fn caller(&self, process: &Process) -> Caller {
         Caller::new(process.listen(), TOKEN)
     }
 }
 
-/// Waits until `condition` holds, without a limit of its own: what never comes true is ended by
-/// the runner.
+/// Waits until `condition` holds. There is no timeout: a test whose condition never holds is
+/// stopped by the test runner.
 pub async fn until(mut condition: impl FnMut() -> bool) {
     while !condition() {
         compio::time::sleep(Duration::from_millis(2)).await;
--- a/crates/vaneway-test-support/src/engine/batch.rs
+++ b/crates/vaneway-test-support/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The engine's requests and its steps: continuous batching by priority.
+//! The requests of an engine and its steps: continuous batching by priority.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -16,25 +16,29 @@
 use super::cache::PrefixCache;
 use super::text::Prompt;
 
-/// One request and its state.
+/// One request and its state (KV cache and position).
 #[derive(Debug)]
 pub struct Sequence {
     id: String,
     /// The prompt.
     pub prompt: Prompt,
     priority: u8,
+    /// Unix time in seconds.
     created: u64,
-    /// Tokens generated and sent.
+    /// Tokens generated and sent, or sent before by another engine.
     pub generated: u32,
+    /// Prompt tokens left to compute.
     prefill_left: u32,
     running: bool,
+    /// Whether the stream's first chunk has been sent.
     opened: bool,
     reader: Option<Outbox>,
+    /// When the reader disconnected or the state was imported; none while there is a reader.
     detached: Option<Instant>,
 }
 
 impl Sequence {
-    /// A request that just arrived.
+    /// A request that has just arrived.
     pub fn new(id: String, prompt: Prompt, priority: u8, reader: Outbox) -> Self {
         Self {
             id,
@@ -50,7 +54,7 @@
         }
     }
 
-    /// Reads an exported state.
+    /// Parses an exported state; none if a field is missing or of another type.
     pub fn from_json(state: &Value) -> Option<Self> {
         Some(Self {
             id: state["id"].as_str()?.to_owned(),
@@ -82,7 +86,7 @@
         }
     }
 
-    /// Whether the reader takes more; a reader that is gone leaves the state behind.
+    /// Whether the reader accepts more bytes. If it has disconnected, the state is kept without it.
     fn reader_ready(&mut self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
         let Some(reader) = &self.reader else { return false };
@@ -95,7 +99,7 @@
         reader.poll_capacity(&mut cx).is_ready()
     }
 
-    /// Sends the next token; true if the answer is whole.
+    /// Sends the next token; returns whether the response is complete.
     fn advance(&mut self) -> bool {
         if !self.opened {
             self.opened = true;
@@ -123,23 +127,25 @@
     }
 }
 
-/// Steps whose load is remembered at most; with a longer lag, later steps wait for room.
-const LOADS_MOST: usize = 10_000;
+/// Maximum number of steps whose load is kept. If the lag spans more steps, the loads of later
+/// steps are dropped until earlier ones expire.
+const MAX_LOADS: usize = 10_000;
 
-/// How busy the engine was at one step.
+/// Numbers of requests in one step.
 #[derive(Debug, Clone, Copy, Default)]
 struct Load {
     running: usize,
     waiting: usize,
 }
 
-/// All requests of an engine.
+/// The requests of an engine, its prefix cache and its recent load.
 #[derive(Debug)]
 pub struct Batch {
     options: EngineOptions,
     sequences: BTreeMap<String, Sequence>,
+    /// Ids of queued requests, by priority.
     waiting: VecDeque<String>,
-    /// The prefix cache.
+    /// Prompt prefixes computed so far.
     pub cache: PrefixCache,
     loads: VecDeque<(Instant, Load)>,
 }
@@ -152,13 +158,14 @@
         Self { options, sequences, waiting, cache, loads: VecDeque::new() }
     }
 
-    /// Whether no more requests may wait.
+    /// Whether the queue is full.
     pub fn is_full(&self) -> bool {
         self.waiting.len() >= self.options.max_waiting
     }
 
-    /// Lets a request wait for its turn.
-    pub fn enter(&mut self, mut sequence: Sequence, stats: &mut EngineStats) {
+    /// Queues a request behind those of the same or a higher priority. Cached tokens of its prompt
+    /// are not computed.
+    pub fn enqueue(&mut self, mut sequence: Sequence, stats: &mut EngineStats) {
         let cached = self.cache.cached_tokens(&sequence.prompt.content);
         let cached = cached.min(sequence.prefill_left);
         sequence.prefill_left -= cached;
@@ -172,14 +179,15 @@
         stats.open = self.sequences.len() as u64;
     }
 
-    /// Takes over a state that was imported.
+    /// Adds an imported state, which has no reader yet.
     pub fn adopt(&mut self, sequence: Sequence, stats: &mut EngineStats) {
         self.cache.store(&sequence.prompt.content);
         self.sequences.insert(sequence.id.clone(), sequence);
         stats.open = self.sequences.len() as u64;
     }
 
-    /// Goes on with a state after `after` tokens; false if there is no such state.
+    /// Continues a request with a new reader behind its first `after` tokens; returns false if
+    /// there is no state for it, or fewer tokens were generated.
     pub fn resume(&mut self, id: &str, after: u32, reader: Outbox) -> bool {
         let Some(sequence) = self.sequences.get_mut(id) else { return false };
         if after > sequence.generated {
@@ -195,13 +203,13 @@
         true
     }
 
-    /// The state of a request, for another engine.
+    /// The state of a request for another engine; none before its prompt is computed.
     pub fn export(&self, id: &str) -> Option<Value> {
         let sequence = self.sequences.get(id)?;
         (sequence.prefill_left == 0).then(|| sequence.to_json())
     }
 
-    /// Frees a request's state; false if there is none.
+    /// Removes a request's state; returns false if there is none.
     pub fn cancel(&mut self, id: &str, stats: &mut EngineStats) -> bool {
         let removed = self.sequences.remove(id).is_some();
         self.waiting.retain(|waiting| waiting != id);
@@ -210,8 +218,8 @@
         removed
     }
 
-    /// One step: prompts are computed as far as the step allows, and every other running request
-    /// gets a token.
+    /// Runs one step: computes up to `prefill` prompt tokens in total, and generates one token for
+    /// each running request whose prompt is computed and whose reader accepts more bytes.
     pub fn step(&mut self, stats: &mut EngineStats) {
         self.expire(stats);
         self.admit();
@@ -239,7 +247,7 @@
         for id in ended {
             self.sequences.remove(&id);
         }
-        self.note_load();
+        self.record_load();
         stats.open = self.sequences.len() as u64;
     }
 
@@ -261,7 +269,7 @@
         stats.expired += (before - self.sequences.len()) as u64;
     }
 
-    /// The load as it was a lag ago; nothing while the engine is younger than that.
+    /// The load as it was `load_lag` ago; zero while the engine has not run for that long.
     pub fn lagged_load(&self) -> Value {
         let old = self.loads.iter().rev().find(|(at, _)| at.elapsed() >= self.options.load_lag);
         let (age, load) = old
@@ -270,8 +278,8 @@
         json!({ "running": running, "waiting": waiting, "age_ms": age.as_millis() as u64 })
     }
 
-    /// Notes the load of this step, and forgets what is older than anyone will be told.
-    fn note_load(&mut self) {
+    /// Records the load of this step, and drops loads too old to be reported.
+    fn record_load(&mut self) {
         let running = self.sequences.values().filter(|sequence| sequence.running).count();
         let load = Load { running, waiting: self.waiting.len() };
         self.loads.push_back((Instant::now(), load));
@@ -279,6 +287,6 @@
         while self.loads.get(1).is_some_and(|(at, _)| at.elapsed() >= lag) {
             self.loads.pop_front();
         }
-        self.loads.truncate(LOADS_MOST);
+        self.loads.truncate(MAX_LOADS);
     }
 }
--- a/crates/vaneway-test-support/src/engine/cache.rs
+++ b/crates/vaneway-test-support/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! A bounded cache of prompt prefixes, with events that come late and with gaps.
+//! A bounded cache of prompt prefixes, whose events are published late and with gaps.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -11,41 +11,46 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Bytes of a prompt in one block: 16 tokens.
+/// Bytes of a prompt in one block of 16 tokens.
 const BLOCK_BYTES: usize = 64;
 
 /// Tokens in one block.
 const BLOCK_TOKENS: u32 = 16;
 
-/// How late events are published.
+/// Delay after which events are published.
 const EVENT_LAG: Duration = Duration::from_millis(100);
 
-/// Events that are kept for readers.
-const EVENTS_MOST: usize = 4_096;
+/// Maximum number of events kept for readers.
+const MAX_EVENTS: usize = 4_096;
 
 #[derive(Debug)]
 struct Event {
     number: u64,
     at: Instant,
+    /// Whether the block was stored; otherwise it was evicted.
     stored: bool,
     block: u64,
 }
 
-/// The cache: blocks by the hash of everything up to their end.
+/// A cache of blocks, each identified by the hash of the prompt up to the block's end.
 #[derive(Debug)]
 pub struct PrefixCache {
     capacity: usize,
-    /// Last use of each block.
+    /// Value of `uses` at the last use of each block, by hash.
     blocks: BTreeMap<u64, u64>,
     uses: u64,
     events: VecDeque<Event>,
+    /// Number of the last event, lost ones included.
     number: u64,
+    /// One of this many events is lost; none if zero.
     gap: u64,
+    /// Offset that determines which events are lost.
     seed: u64,
 }
 
 impl PrefixCache {
-    /// An empty cache of `capacity` blocks that loses one of `gap` events.
+    /// An empty cache of `capacity` blocks that loses one of `gap` events, or none if `gap` is
+    /// zero.
     pub fn new(capacity: usize, gap: u64, seed: u64) -> Self {
         let (blocks, events) = (BTreeMap::new(), VecDeque::new());
         Self { capacity, blocks, uses: 0, events, number: 0, gap, seed }
@@ -59,7 +64,7 @@
         })
     }
 
-    /// Tokens of the prompt's beginning that are cached.
+    /// Number of the prompt's first tokens that are cached; marks their blocks as used.
     pub fn cached_tokens(&mut self, content: &str) -> u32 {
         self.uses += 1;
         let mut tokens = 0;
@@ -71,7 +76,7 @@
         tokens
     }
 
-    /// Stores a prompt, at the cost of the blocks used longest ago.
+    /// Stores a prompt and evicts the least recently used blocks beyond the capacity.
     pub fn store(&mut self, content: &str) {
         self.uses += 1;
         for hash in Self::hashes(content) {
@@ -92,14 +97,14 @@
         if self.gap > 0 && (self.number + self.seed).is_multiple_of(self.gap) {
             return;
         }
-        if self.events.len() == EVENTS_MOST {
+        if self.events.len() == MAX_EVENTS {
             self.events.pop_front();
         }
         let event = Event { number: self.number, at: Instant::now(), stored, block };
         self.events.push_back(event);
     }
 
-    /// Events after number `after` that are old enough to be published.
+    /// Published events with a number above `after`.
     pub fn events(&self, after: u64) -> Value {
         let published = self.events.iter().filter(|event| event.at.elapsed() >= EVENT_LAG);
         let listed: Vec<_> = published
--- a/crates/vaneway-test-support/src/engine/text.rs
+++ b/crates/vaneway-test-support/src/engine/text.rs
@@ -1,4 +1,4 @@
-//! Prompts, the tokens that follow from them, and chunks in the OpenAI form.
+//! Prompts, the tokens generated for them, and chunks in the OpenAI format.
 
 use std::hash::DefaultHasher;
 use std::hash::Hash as _;
@@ -9,38 +9,38 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Bytes of a prompt that make one token.
-const BYTES_FOR_A_TOKEN: usize = 4;
+/// Bytes of a prompt per token.
+const BYTES_PER_TOKEN: usize = 4;
 
-/// Words that tokens are made of.
+/// Words from which tokens are made.
 const WORDS: [&str; 16] = [
     "bogha", "tonn", "fear", "cloch", "grian", "muir", "oíche", "solas", "zee", "wolk", "brug",
     "maan", "licht", "veld", "poort", "stem",
 ];
 
-/// A prompt as the engine sees it.
+/// A prompt with the parameters of its request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prompt {
-    /// The prompt's bytes, which the prefix cache looks at.
+    /// The prompt's text, by which the prefix cache finds it.
     pub content: String,
     /// Its length in tokens.
     pub tokens: u32,
-    /// Tokens of the answer.
+    /// Length of the response in tokens.
     pub answer_tokens: u32,
-    /// Tokens of the answer that the request brought along.
+    /// Tokens of the response that the request contains as its `continuation`.
     pub continued: u32,
     /// The model's name.
     pub model: String,
     /// Whether the chat interface was used.
     pub chat: bool,
-    /// Whether usage figures are wanted at the end.
+    /// Whether the response ends with a usage chunk.
     pub usage: bool,
-    /// Whether the answer ends by its limit.
+    /// Whether the request limits the response's length, so that it finishes with `length`.
     pub limited: bool,
 }
 
 impl Prompt {
-    /// Reads a request's body; the error is a stable code.
+    /// Parses a request's body; the error is a stable code.
     pub fn read(body: &[u8], chat: bool) -> Result<Self, &'static str> {
         let body: Value = serde_json::from_slice(body).map_err(|_not_json| "bad_json")?;
         let prompt = body.get(if chat { "messages" } else { "prompt" }).ok_or("no_prompt")?;
@@ -52,7 +52,7 @@
             .iter()
             .find_map(|name| body.get(*name).and_then(Value::as_u64));
         let mut prompt = Self {
-            tokens: (content.len() / BYTES_FOR_A_TOKEN) as u32,
+            tokens: (content.len() / BYTES_PER_TOKEN) as u32,
             answer_tokens: 0,
             continued: 0,
             model: body.get("model").and_then(Value::as_str).unwrap_or_default().to_owned(),
@@ -82,7 +82,7 @@
         16 + (self.hash(0) % 48) as u32
     }
 
-    /// The token at position `k`, counted from 1.
+    /// The token at position `k`, counted from 1; it depends on the prompt and `k` alone.
     pub fn token(&self, k: u32) -> String {
         let hash = self.hash(k);
         let word = WORDS[(hash % WORDS.len() as u64) as usize];
@@ -109,7 +109,7 @@
         })
     }
 
-    /// The chunk that opens a chat answer.
+    /// The first chunk of a chat response; none for plain completions.
     pub fn role_chunk(&self, id: &str, created: u64) -> Option<Value> {
         let delta = json!({ "role": "assistant", "content": "" });
         self.chat.then(|| self.chunk(id, created, &delta, "", &Value::Null))
@@ -121,7 +121,7 @@
         self.chunk(id, created, &json!({ "content": text }), &text, &Value::Null)
     }
 
-    /// The chunk that says why the answer ended.
+    /// The chunk with the finish reason.
     pub fn finish_chunk(&self, id: &str, created: u64) -> Value {
         let reason = if self.limited { "length" } else { "stop" };
         self.chunk(id, created, &json!({}), "", &reason.into())
--- a/crates/vaneway-test-support/src/lib.rs
+++ b/crates/vaneway-test-support/src/lib.rs
@@ -1,9 +1,9 @@
 //! Stand-in endpoints, platform and fault-injecting proxy for the tests and benchmarks.
 //!
-//! Every stand-in runs in a thread of its own with its own event loop, speaks HTTP on an
-//! ephemeral loopback port as docs/INTERFACES.md describes, and is deterministic by its seed.
-//! [`Deployment`] is the short language in which tests describe their setup: stand-ins, a settings file
-//! and real `vaneway` processes.
+//! Every stand-in runs in a thread of its own with its own event loop, serves HTTP on an ephemeral
+//! loopback port as docs/INTERFACES.md describes, and is deterministic for a given seed.
+//! [`Deployment`] is the builder with which tests describe their setup: stand-ins, a settings
+//! file and real `vaneway` processes.
 
 pub mod caller;
 pub mod closed_port;
--- a/crates/vaneway-test-support/src/plain_service.rs
+++ b/crates/vaneway-test-support/src/plain_service.rs
@@ -18,21 +18,22 @@
 use crate::server;
 use crate::standin::Standin;
 
-/// Header with which the service says that it did not run a call.
+/// Response header that states that the service did not run the request.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
 
 #[derive(Debug, Default)]
 struct State {
+    /// Number of executions by `Idempotency-Key`.
     executions: BTreeMap<String, u32>,
     total: u32,
     refuse: bool,
     fail_after_run: bool,
-    pause: Duration,
+    delay: Duration,
     leaving: bool,
 }
 
-/// A running plain service. `POST` and `GET` at any path execute the call and answer with JSON
-/// that repeats method, path and body; `GET /bytes/N` answers with N bytes.
+/// A running plain service. It executes a request with any method and path, and responds with JSON
+/// that echoes method, path, body and organisation; the path `/bytes/N` responds with N bytes.
 #[derive(Debug)]
 pub struct PlainService {
     standin: Standin,
@@ -47,46 +48,46 @@
     /// Starts the service.
     pub fn spawn() -> Self {
         let state = Arc::new(Mutex::new(State::default()));
-        let theirs = Arc::clone(&state);
+        let for_thread = Arc::clone(&state);
         let standin = Standin::spawn("plain-service", move |listener| {
-            server::serve(listener, move |req| handle(Arc::clone(&theirs), req))
+            server::serve(listener, move |req| handle(Arc::clone(&for_thread), req))
         });
         Self { standin, state }
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.standin.address()
     }
 
-    /// How often calls with this `Idempotency-Key` were executed.
+    /// Number of executions of requests with this `Idempotency-Key`.
     pub fn executions(&self, key: &str) -> u32 {
         lock(&self.state).executions.get(key).copied().unwrap_or_default()
     }
 
-    /// How often any call was executed.
+    /// Number of executions of all requests.
     pub fn total(&self) -> u32 {
         lock(&self.state).total
     }
 
-    /// Refuses calls, saying that they were not run.
+    /// Refuses requests with 503 and [`NOT_RUN_HEADER`] without running them, or ceases to.
     pub fn refuse(&self, refuse: bool) {
         lock(&self.state).refuse = refuse;
     }
 
-    /// Executes calls and then answers 503 without saying that they were not run.
+    /// Executes requests and then responds with 503 without [`NOT_RUN_HEADER`], or ceases to.
     pub fn fail_after_run(&self, fail: bool) {
         lock(&self.state).fail_after_run = fail;
     }
 
-    /// Says in its answers that it leaves, or no more.
+    /// Announces in its responses that the endpoint is leaving, or ceases to.
     pub fn announce_leaving(&self, leaving: bool) {
         lock(&self.state).leaving = leaving;
     }
 
-    /// Waits before each answer.
-    pub fn delay_responses(&self, pause: Duration) {
-        lock(&self.state).pause = pause;
+    /// Waits for `delay` between the execution and the response.
+    pub fn delay_responses(&self, delay: Duration) {
+        lock(&self.state).delay = delay;
     }
 }
 
@@ -103,16 +104,16 @@
         response.headers_mut().insert(NOT_RUN_HEADER, yes);
         return response;
     }
-    let (fail, pause) = {
+    let (fail, delay) = {
         let mut state = lock(&state);
         state.total += 1;
         if let Some(key) = key {
             *state.executions.entry(key).or_default() += 1;
         }
-        (state.fail_after_run, state.pause)
+        (state.fail_after_run, state.delay)
     };
-    if !pause.is_zero() {
-        compio::time::sleep(pause).await;
+    if !delay.is_zero() {
+        compio::time::sleep(delay).await;
     }
     if fail {
         return server::json(StatusCode::SERVICE_UNAVAILABLE, &json!({ "error": "overloaded" }));
@@ -124,9 +125,9 @@
         return response;
     }
     let body = String::from_utf8_lossy(&body);
-    let answer =
+    let echo =
         json!({ "method": method, "path": path, "body": body, "organisation": organisation });
-    let mut response = server::json(StatusCode::OK, &answer);
+    let mut response = server::json(StatusCode::OK, &echo);
     if lock(&state).leaving {
         let yes = "1".parse().expect("valid header value");
         response.headers_mut().insert("x-vaneway-leaving", yes);
--- a/crates/vaneway-test-support/src/platform.rs
+++ b/crates/vaneway-test-support/src/platform.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the cloud platform: its lagging list of boxes, its reclaim notices, and the
-//! interface to start boxes.
+//! A stand-in for the cloud platform: its delayed list of boxes, its reclaim notices, and the API
+//! that starts boxes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,8 +21,8 @@
 use crate::server;
 use crate::standin::Standin;
 
-/// Pause between two looks while a caller waits for notices.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// Interval at which a request that waits for notices checks for new ones.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Debug, Clone)]
 struct Listed {
@@ -34,18 +34,21 @@
 struct Notice {
     name: String,
     instance: String,
+    /// When the box is reclaimed.
     gone_at: Instant,
 }
 
 #[derive(Debug, Default)]
 struct State {
     boxes: BTreeMap<String, Listed>,
-    /// Earlier states of the list, which is published with a lag.
+    /// Earlier states of the list, each with the time until which it was current.
     history: Vec<(Instant, BTreeMap<String, Listed>)>,
+    /// Age of the published list.
     lag: Duration,
     notices: Vec<Notice>,
     lose_notices: bool,
     starts_refused: bool,
+    /// Boxes started so far, by which instances are numbered.
     started: u32,
 }
 
@@ -57,7 +60,6 @@
 
     /// The list as it was `lag` ago.
     fn lagged(&self) -> &BTreeMap<String, Listed> {
-        // Each entry of the history holds the list as it was until that time.
         let old = self.history.iter().find(|(until, _)| until.elapsed() < self.lag);
         old.map_or(&self.boxes, |(_, boxes)| boxes)
     }
@@ -75,22 +77,23 @@
 }
 
 impl CloudPlatform {
-    /// Starts a platform whose list is `lag` late.
+    /// Starts a platform whose published list is `lag` old.
     pub fn spawn(lag: Duration) -> Self {
         let state = Arc::new(Mutex::new(State { lag, ..State::default() }));
-        let theirs = Arc::clone(&state);
+        let for_thread = Arc::clone(&state);
         let standin = Standin::spawn("platform", move |listener| {
-            server::serve(listener, move |req| handle(Arc::clone(&theirs), req))
+            server::serve(listener, move |req| handle(Arc::clone(&for_thread), req))
         });
         Self { standin, state }
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.standin.address()
     }
 
-    /// Lists a box as live; a box that was listed before is replaced by a new instance.
+    /// Lists a box as `live`; a box of this name that is listed already is replaced by a new
+    /// instance.
     pub fn start_box(&self, name: &str) {
         let mut state = lock(&self.state);
         state.started += 1;
@@ -100,7 +103,7 @@
         });
     }
 
-    /// Gives notice that a box is taken back after `within`.
+    /// Publishes a notice that a box is reclaimed after `within`, and lists it as `leaving`.
     ///
     /// # Panics
     ///
@@ -117,12 +120,12 @@
         }
     }
 
-    /// Loses the notices from now on, so that only the list tells.
+    /// Drops notices from now on, so that only the list shows reclaimed boxes, or ceases to.
     pub fn lose_notices(&self, lose: bool) {
         lock(&self.state).lose_notices = lose;
     }
 
-    /// Refuses to start boxes from now on.
+    /// Refuses to start boxes from now on, or ceases to.
     pub fn refuse_starts(&self, refuse: bool) {
         lock(&self.state).starts_refused = refuse;
     }
@@ -151,7 +154,7 @@
     let wait = Duration::from_millis(server::parameter(req, "wait_ms").unwrap_or_default());
     let until = Instant::now() + wait;
     while lock(state).notices.len() <= after && Instant::now() < until {
-        compio::time::sleep(LOOK_EVERY).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
     let state = lock(state);
     let now = Instant::now();
--- a/crates/vaneway-test-support/src/proxy.rs
+++ b/crates/vaneway-test-support/src/proxy.rs
@@ -1,7 +1,7 @@
 //! A proxy that injects faults between two processes.
 //!
-//! TCP: delay, cut, half-open connections, a cut after a number of bytes of the answer. UDP:
-//! delay, loss and reordering, by a seed.
+//! TCP: delay, cut connections, half-open connections, and a cut after a number of bytes of the
+//! response. UDP: delay, loss and reordering, reproducible by a seed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,18 +23,18 @@
 
 use crate::standin::Standin;
 
-/// Pause between two looks at a fault that holds bytes back.
-const LOOK_EVERY: Duration = Duration::from_millis(1);
+/// Interval at which a fault that holds bytes back is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Faults {
-    /// Where datagrams go; those before it is known are lost.
+    /// Target of datagrams; they are lost while it is unknown.
     target: Option<SocketAddr>,
     delay: Duration,
     cut: bool,
     frozen: bool,
-    /// Bytes that may still pass from the server before the connection is cut.
-    answer_left: Option<u64>,
+    /// Bytes from the server that are forwarded before the connection is cut; none if it is not.
+    response_left: Option<u64>,
     loss_percent: u32,
     reorder_percent: u32,
 }
@@ -59,37 +59,37 @@
     /// If its socket can't be used.
     pub fn tcp(target: SocketAddr) -> Self {
         let faults = Arc::new(Mutex::new(Faults::default()));
-        let theirs = Arc::clone(&faults);
+        let for_thread = Arc::clone(&faults);
         let standin = Standin::spawn("proxy", move |listener| async move {
             let listener = TcpListener::from_std(listener).expect("a listening socket");
             while let Ok((stream, _peer)) = listener.accept().await {
-                let faults = Arc::clone(&theirs);
+                let faults = Arc::clone(&for_thread);
                 compio::runtime::spawn(connect(stream, target, faults)).detach();
             }
         });
         Self { address: standin.address(), _standin: standin, faults }
     }
 
-    /// Starts a UDP proxy: datagrams from anyone go to the target that
-    /// [`Proxy::set_target`] names.
+    /// Starts a UDP proxy, which forwards all datagrams to the target set by
+    /// [`Proxy::set_target`]. `seed` determines which are lost or reordered.
     ///
     /// # Panics
     ///
     /// If the UDP port can't be bound.
     pub fn udp(seed: u64) -> Self {
         let faults = Arc::new(Mutex::new(Faults::default()));
-        let theirs = Arc::clone(&faults);
-        // Bound before the thread starts, so that no datagram comes too early.
+        let for_thread = Arc::clone(&faults);
+        // Bound before the thread starts, so that no datagram arrives at a closed port.
         let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a free port");
         let address = socket.local_addr().expect("a bound socket");
         let standin = Standin::spawn("udp-proxy", move |_listener| async move {
             let socket = UdpSocket::from_std(socket).expect("a bound socket");
-            forward_datagrams(socket, theirs, seed).await;
+            forward_datagrams(socket, for_thread, seed).await;
         });
         Self { address, _standin: standin, faults }
     }
 
-    /// Where to connect instead of the target.
+    /// The address to use instead of the target's.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -99,28 +99,28 @@
         lock(&self.faults).delay = delay;
     }
 
-    /// Closes every connection and refuses new ones.
+    /// Resets every connection and closes new ones at once, or ceases to.
     pub fn cut(&self, cut: bool) {
         lock(&self.faults).cut = cut;
     }
 
-    /// Keeps connections open but passes nothing on.
+    /// Keeps connections open but forwards nothing, or ceases to.
     pub fn freeze(&self, frozen: bool) {
         lock(&self.faults).frozen = frozen;
     }
 
-    /// Cuts once so many more bytes came from the server; with 0, at the first byte of the next
-    /// answer. Connections after that are not cut.
+    /// Cuts the connection once `bytes` more bytes from the server were forwarded; with 0, at the
+    /// first byte of the next response. Later connections are not cut.
     pub fn cut_response_after(&self, bytes: u64) {
-        lock(&self.faults).answer_left = Some(bytes);
+        lock(&self.faults).response_left = Some(bytes);
     }
 
-    /// Names the target of a UDP proxy.
+    /// Sets the target of a UDP proxy.
     pub fn set_target(&self, target: SocketAddr) {
         lock(&self.faults).target = Some(target);
     }
 
-    /// Loses and reorders datagrams.
+    /// Sets the percentages of datagrams that are lost and reordered.
     pub fn set_loss_and_reordering(&self, loss_percent: u32, reorder_percent: u32) {
         let mut faults = lock(&self.faults);
         faults.loss_percent = loss_percent;
@@ -133,7 +133,7 @@
         return;
     }
     let Ok(server) = TcpStream::connect(target).await else { return };
-    // Small messages must not wait for more.
+    // Without Nagle's algorithm, which would delay small messages.
     if caller.set_nodelay(true).is_err() || server.set_nodelay(true).is_err() {
         return;
     }
@@ -142,17 +142,17 @@
     let cut = wait_for_cut(&faults);
     futures_util::pin_mut!(up, down, cut);
     futures_util::future::select(futures_util::future::select(up, down), cut).await;
-    // A reset rather than an orderly end, as when a box dies.
+    // Closes with a reset instead of an orderly shutdown, as when a box crashes.
     let _already_closed = (caller.set_zero_linger(), server.set_zero_linger());
 }
 
 async fn wait_for_cut(faults: &Mutex<Faults>) {
     while !lock(faults).cut {
-        compio::time::sleep(LOOK_EVERY).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn copy(mut from: TcpStream, mut to: TcpStream, faults: Arc<Mutex<Faults>>, answers: bool) {
+async fn copy(mut from: TcpStream, mut to: TcpStream, faults: Arc<Mutex<Faults>>, responses: bool) {
     let mut buf = Vec::with_capacity(16 << 10);
     loop {
         buf.clear();
@@ -163,15 +163,15 @@
             compio::time::sleep(delay).await;
         }
         while lock(&faults).frozen {
-            compio::time::sleep(LOOK_EVERY).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
         let mut last = false;
-        if answers {
+        if responses {
             let mut faults = lock(&faults);
-            if let Some(left) = faults.answer_left {
+            if let Some(left) = faults.response_left {
                 last = count as u64 > left;
                 count = count.min(left as usize);
-                faults.answer_left = (!last).then(|| left - count as u64);
+                faults.response_left = (!last).then(|| left - count as u64);
             }
         }
         let BufResult(written, slice) = to.write_all(bytes.slice(..count)).await;
@@ -201,7 +201,7 @@
             continue;
         }
         for datagram in std::iter::once(datagram).chain(held.take()) {
-            // A datagram that can't be sent is a lost one.
+            // A datagram that can't be sent counts as lost.
             let BufResult(_lost, _datagram) = socket.send_to(datagram, target).await;
         }
     }
--- a/crates/vaneway-test-support/src/server.rs
+++ b/crates/vaneway-test-support/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for stand-ins.
+//! A minimal HTTP server and client for stand-ins.
 
 use std::convert::Infallible;
 use std::net::TcpListener;
@@ -21,7 +21,7 @@
 use vaneway_server::util::socket;
 use vaneway_server::util::socket::SocketListener;
 
-/// Answers every request with `handler` until dropped.
+/// Serves every request with `handler` until dropped.
 ///
 /// # Panics
 ///
@@ -34,38 +34,38 @@
     let listener = SocketListener::from_std(listener).expect("a listening socket");
     let handler = Rc::new(handler);
     loop {
-        // A caller that is gone already is part of the tests.
+        // Tests close connections early on purpose.
         let Ok(io) = listener.accept().await else { continue };
         let handler = Rc::clone(&handler);
         let service = service_fn(move |req| {
-            let answer = handler(req);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handler(req);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         compio::runtime::spawn(async move {
-            // A connection that breaks is part of the tests.
+            // Tests break connections on purpose.
             let _broken = http1::Builder::new().serve_connection(io, service).await;
         })
         .detach();
     }
 }
 
-/// A JSON answer.
+/// A JSON response.
 pub fn json(status: StatusCode, value: &Value) -> Response<ResponseBody> {
     json_response(status, Bytes::from(value.to_string()))
 }
 
-/// Reads a body whole; empty if it broke off.
+/// Reads a complete body; empty if it is truncated.
 pub async fn read(body: Incoming) -> Bytes {
     body.collect().await.map(http_body_util::Collected::to_bytes).unwrap_or_default()
 }
 
-/// The value of a parameter in the request's query.
+/// The value of a numeric query parameter; none if it is missing or not a number.
 pub fn parameter(req: &Request<Incoming>, name: &str) -> Option<u64> {
     let pairs = req.uri().query()?.split('&').filter_map(|pair| pair.split_once('='));
     pairs.into_iter().find(|(key, _)| *key == name).and_then(|(_, value)| value.parse().ok())
 }
 
-/// Gets JSON from another stand-in on a connection of its own.
+/// Fetches JSON from another stand-in over a new connection; none if the request fails.
 pub async fn get_json(addr: std::net::SocketAddr, path: &str) -> Option<Value> {
     let stream = socket::connect(addr).await.ok()?;
     let (mut tx, connection) = client::handshake::<_, Full<Bytes>>(stream).await.ok()?;
