--- a/crates/vaneway-agreement/src/node.rs
+++ b/crates/vaneway-agreement/src/node.rs
@@ -254,8 +254,9 @@
         self.progress.get(&id).and_then(|progress| progress.last_acked_sent)
     }
 
-    /// Whether `id` answered a heartbeat sent after `first_sent`, or was first sent anything after
-    /// it.
+    /// Whether `id` answered a heartbeat that was sent at `since` or later, or was first sent
+    /// anything at or after that time, so that it may not have had the time to answer. Always true
+    /// without `since`.
     fn is_responsive(&self, id: NodeId, since: Option<Instant>) -> bool {
         let Some(since) = since else { return true };
         let first_sent = self.progress.get(&id).map(|progress| progress.first_sent);
--- a/crates/vaneway-quota/src/lib.rs
+++ b/crates/vaneway-quota/src/lib.rs
@@ -106,10 +106,10 @@
     units: f64,
 }
 
-/// Quota use of all entry boxes, as known at one box.
+/// Quota usage of all entry boxes, as known at one box.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetUsage {
-    /// Cluster time up to which the use of all reporting boxes is known.
+    /// Cluster time up to which the usage of all reporting boxes is known.
     pub as_of: Duration,
     /// Units per second that were requested at all boxes together, admitted or not.
     pub demand: f64,
@@ -130,7 +130,7 @@
 /// Number of entry boxes that share a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sharers {
-    /// Boxes whose use is reported.
+    /// Boxes whose usage is reported.
     pub reporting: u32,
     /// Boxes that may use a share of the limit, including those that do not report: they may be
     /// partitioned and still admit requests. While this is 0 it is not known yet, and the box
@@ -150,7 +150,7 @@
     pub usage_age: Option<Duration>,
     /// Number of boxes that share the limit.
     pub sharers: Sharers,
-    /// Whether the decision is based on the use of all boxes and not on the local share.
+    /// Whether the decision is based on the usage of all boxes and not on the local share.
     pub is_fleet_wide: bool,
 }
 
@@ -158,12 +158,12 @@
 #[derive(Debug, Clone, Copy)]
 struct Share {
     fraction: f64,
-    /// Whether it is the share of all reporting boxes together, so that their use counts as well.
+    /// Whether it is the share of all reporting boxes together, so that their usage counts as well.
     is_fleet_wide: bool,
 }
 
 impl Quota {
-    /// A quota of which no use is known.
+    /// A quota without any known usage.
     pub fn new(limit: Limit) -> Self {
         Self {
             limit,
@@ -219,14 +219,14 @@
         Err(self.retry_delay(now, units, share, level))
     }
 
-    /// Whether a request is admitted, based on the use of all boxes.
+    /// Whether a request is admitted, based on the usage of all boxes.
     fn admits_fleet_wide(&self, now: Duration, units: u64, draw: f64, level: f64) -> bool {
         // A request larger than the burst can only be admitted from a full bucket.
         let needed = (units as f64).min(self.limit.burst * self.share(now).fraction);
         let full_admission_level = self.full_admission_level(now);
-        let is_open = level >= full_admission_level
+        let passes_draw = level >= full_admission_level
             || draw * full_admission_level * self.relative_size(units) < level;
-        level >= needed && is_open
+        level >= needed && passes_draw
     }
 
     /// Size of a request relative to the mean. Probabilities inversely proportional to the size
@@ -246,11 +246,11 @@
         if level >= units {
             return true;
         }
-        let won = level > 0.0 && draw * units < level;
-        if !won {
+        let admitted = level > 0.0 && draw * units < level;
+        if !admitted {
             *self.forfeited.entry(slot(now)).or_default() += level.max(0.0);
         }
-        won
+        admitted
     }
 
     /// Time until a request of this size may be admitted if no other one is.
@@ -301,7 +301,7 @@
         }
     }
 
-    /// Updates which boxes share the limit and the fleet's use. `usage` is none if the reporting
+    /// Updates which boxes share the limit and the fleet's usage. `usage` is none if the reporting
     /// control box cannot determine it, or does not receive this box's reports.
     pub fn update_fleet_usage(
         &mut self,
@@ -332,12 +332,12 @@
         self.requested_units
     }
 
-    /// Whether the control boxes may not have received all demand and use of this box yet.
+    /// Whether the control boxes may not have received all demand and usage of this box yet.
     pub fn has_unreported_demand(&self, now: Duration) -> bool {
         now.saturating_sub(self.demand.latest()) <= REPORTING_DEADLINE
     }
 
-    /// Whether no use or debt remains that affects a decision.
+    /// Whether no usage or debt remains that affects a decision.
     pub fn is_idle(&self, now: Duration) -> bool {
         let first = slot(now).saturating_sub(RETAINED_SLOTS);
         let recent = |slots: &BTreeMap<Slot, u64>| slots.range(first..).next().is_some();
@@ -345,7 +345,7 @@
     }
 
     /// Units that may be taken now: the level of a bucket that fills at the limit's rate and from
-    /// which each slot's use is taken.
+    /// which each slot's usage is taken.
     pub fn level(&self, now: Duration) -> f64 {
         let share = self.share(now);
         let current = slot(now);
@@ -398,8 +398,8 @@
         self.used_here(slot) + self.used_elsewhere(slot)
     }
 
-    /// Use of a slot that counts against the local share: own use, forfeited units, and this box's
-    /// fraction of the known use of others.
+    /// Usage of a slot that counts against the local share: own usage, forfeited units, and this
+    /// box's fraction of the known usage of others.
     fn used_of_share(&self, slot: Slot) -> f64 {
         let forfeited = self.forfeited.get(&slot).copied().unwrap_or_default();
         let others = self.used_elsewhere(slot) / f64::from(self.sharers.reporting);
--- a/crates/vaneway-server/src/core/callers/routed.rs
+++ b/crates/vaneway-server/src/core/callers/routed.rs
@@ -93,7 +93,7 @@
     let result = call::call(Rc::clone(entry), protocol.endpoints(), request, limits).await;
     result.map_err(|mut error| {
         if error.run == RunState::NotRun {
-            entry.quotas.give_back(entry.cluster_time(), &organisation, units);
+            entry.quotas.refund(entry.cluster_time(), &organisation, units);
         }
         error.retry_after = error.retry_after.map(|after| jittered(after, &head.id));
         error
--- a/crates/vaneway-server/src/core/calls/attempt.rs
+++ b/crates/vaneway-server/src/core/calls/attempt.rs
@@ -186,7 +186,7 @@
                 request: &request.id,
                 service: &request.service_name,
                 succeeded: kind == ResponseKind::Answer && head.status.is_success(),
-                named: protocol.advertised_limit(&head.headers),
+                advertised: protocol.advertised_limit(&head.headers),
             };
             limits::observe_response(&entry, &limit_observation);
             if protocol.is_leaving(&head.headers) {
@@ -280,7 +280,7 @@
         }
         let limits = &reader.limits;
         let timeout =
-            if reader.occupancy.is_arriving() { limits.gap_timeout } else { limits.head_timeout };
+            if reader.occupancy.is_responding() { limits.gap_timeout } else { limits.head_timeout };
         let until = clock::now() + timeout;
         let timers = reader.entry.timers.clone();
         match timers.timeout_at(until, reader.body.data()).await {
@@ -292,7 +292,7 @@
     };
     let outcome = reader.attempt.handle(AttemptEvent::Broken).unwrap_or(Outcome::Unknown);
     let progress =
-        if reader.occupancy.is_arriving() { Progress::Answering } else { Progress::Reading };
+        if reader.occupancy.is_responding() { Progress::Answering } else { Progress::Reading };
     let EventStreamReader { entry, request, endpoint, .. } = &*reader;
     let item = CallItem::broken(entry, request, *endpoint, progress, outcome, cause).await;
     (item, Stage::Over)
--- a/crates/vaneway-server/src/core/cluster/follow.rs
+++ b/crates/vaneway-server/src/core/cluster/follow.rs
@@ -34,10 +34,10 @@
 use crate::core::cluster::publishers::Publisher;
 use crate::core::cluster::reconnect::keep_connected;
 use crate::core::cluster::wire::FromEntry;
-use crate::core::cluster::wire::HOST_SILENCE_TIMEOUT;
+use crate::core::cluster::wire::HOST_IDLE_TIMEOUT;
 use crate::core::cluster::wire::LOAD_REPORT_INTERVAL;
 use crate::core::cluster::wire::PING_INTERVAL;
-use crate::core::cluster::wire::PROCESS_SILENCE_TIMEOUT;
+use crate::core::cluster::wire::PROCESS_IDLE_TIMEOUT;
 use crate::core::cluster::wire::SLOTS_PER_REPORT;
 use crate::core::cluster::wire::ToControl;
 use crate::core::cluster::wire::ToEntry;
@@ -199,8 +199,7 @@
             None => self.entry.metrics.datagrams_dropped.inc(),
         };
         let timers = &self.entry.timers;
-        let idle_timeouts =
-            IdleTimeouts { host: HOST_SILENCE_TIMEOUT, process: PROCESS_SILENCE_TIMEOUT };
+        let idle_timeouts = IdleTimeouts { host: HOST_IDLE_TIMEOUT, process: PROCESS_IDLE_TIMEOUT };
         let why = frames::drive(timers, &stream, &outgoing, idle_timeouts, on_frame).await;
         let link = self.open.borrow_mut().remove(&address);
         self.source.borrow_mut().disconnected(address);
@@ -301,10 +300,10 @@
                 registered::add_remembered(&self.entry, &endpoints, left);
             }
             ToEntry::ControlBoxes(advertised) => self.record_control_boxes(from, &advertised),
-            ToEntry::Loads { whole, loads } => {
+            ToEntry::Loads { is_full, loads } => {
                 work_at_endpoints::apply_loads(
                     &self.entry,
-                    whole,
+                    is_full,
                     &loads,
                     &self.reported_loads.borrow(),
                 );
--- a/crates/vaneway-server/src/core/cluster/marks.rs
+++ b/crates/vaneway-server/src/core/cluster/marks.rs
@@ -105,7 +105,7 @@
                 let to = entry.settings.peers[to].address;
                 let BufResult(sent, _datagram) = cluster.socket.send_to(datagram, to).await;
                 if let Err(error) = sent {
-                    // The datagram counts as lost, which the next comparison repairs.
+                    // The datagram is lost; the next exchange of digests repairs that.
                     log::debug!("event=datagram_not_sent to={to} error={error:?}");
                 }
             }
--- a/crates/vaneway-server/src/core/cluster/publishers.rs
+++ b/crates/vaneway-server/src/core/cluster/publishers.rs
@@ -21,7 +21,7 @@
 
 /// Time without a message after which a control box counts as late: one ping interval and one
 /// report interval.
-const MAX_SILENCE: Duration =
+const LATE_THRESHOLD: Duration =
     PING_INTERVAL.saturating_add(USAGE_REPORT_INTERVAL).saturating_add(NETWORK_DELAY_MARGIN);
 
 /// Network delay between two availability zones that doesn't make a control box count as late.
@@ -50,7 +50,7 @@
     let order = |address: SocketAddr| hash::of((name, address));
     let mut known = known.to_vec();
     known.sort_by_key(|publisher| {
-        let late = publisher.since_last_message > MAX_SILENCE;
+        let late = publisher.since_last_message > LATE_THRESHOLD;
         let settled = publisher.connection_age >= SETTLED_AGE;
         (late, !settled, !publisher.same_zone, order(publisher.address))
     });
--- a/crates/vaneway-server/src/core/cluster/wire.rs
+++ b/crates/vaneway-server/src/core/cluster/wire.rs
@@ -38,8 +38,8 @@
 /// "Telling").
 pub const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Every how many load updates a full one is sent, for boxes that missed some.
-pub const LOAD_REPORTS_PER_FULL: u64 = 20;
+/// Every how many load updates a full one is sent, for entry boxes that missed some.
+pub const LOAD_UPDATES_PER_FULL: u64 = 20;
 
 /// Number of quota slots that each report repeats.
 pub const SLOTS_PER_REPORT: u64 = 2;
@@ -48,8 +48,8 @@
 /// whose last requests may have started after the previous report.
 pub const WINDOWS_PER_REPORT: usize = 2;
 
-/// Every how many usage reports all retained slots and windows are repeated, for boxes that missed
-/// some.
+/// Every how many usage reports, and every how many usage updates, a full one is sent for boxes that
+/// missed some: it repeats all retained slots, and a report also all retained windows.
 pub const USAGE_REPORTS_PER_FULL: u64 = 18;
 
 /// Time between two pings on a connection.
@@ -60,13 +60,13 @@
 ///
 /// The operating system answers while the box's process is busy. Also used for the process of
 /// another control box, whose pings take precedence over everything else.
-pub const HOST_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
+pub const HOST_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Time without a message from the other process after which a connection between an entry and a
 /// control box counts as broken. While its operating system answers, the process is busy, and
 /// reconnecting would only add to its work. Long enough for a control box with 0.06 of a core to
 /// admit 300 entry boxes.
-pub const PROCESS_SILENCE_TIMEOUT: Duration = Duration::from_secs(8);
+pub const PROCESS_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Age of an unanswered ping from which on an entry box sends no reports to a control box until the
 /// answer arrives: the control box has not processed the earlier ones, and what is skipped is sent
@@ -124,10 +124,11 @@
     Loads(Loads),
     /// Prompt parts that the entry box's requests brought to endpoints.
     Parts(CachedParts),
-    /// The entry box performs a planned stop, and its reports so far contain all the usage of its
+    /// The entry box is stopping as planned, and its reports so far contain all the usage of its
     /// requests.
     Done,
-    /// Selects what the entry box is sent about the other entry boxes; nothing until it sends this.
+    /// Subscribes to updates about the other entry boxes. Until the entry box sends this, it
+    /// receives none.
     Subscribe(Wanted),
     /// Requests that were running when endpoints crashed, as far as not reported yet.
     QuarantineRecords(Vec<QuarantineRecord>),
@@ -190,7 +191,7 @@
     /// sent the same bytes.
     Loads {
         /// Whether these are all endpoints with any load, or only those where it changed.
-        whole: bool,
+        is_full: bool,
         /// The loads.
         loads: Loads,
     },
--- a/crates/vaneway-server/src/core/cluster/work_at_endpoints.rs
+++ b/crates/vaneway-server/src/core/cluster/work_at_endpoints.rs
@@ -23,18 +23,18 @@
     loads.filter(|(_, load)| *load != Load::default()).collect()
 }
 
-/// Applies the load of all entry boxes at some endpoints, or at all of them if `whole`; `own` is
+/// Applies the load of all entry boxes at some endpoints, or at all of them if `is_full`; `own` is
 /// this box's load as last reported.
 pub fn apply_loads(
     entry: &Entry,
-    whole: bool,
+    is_full: bool,
     loads: &[(InstanceId, Load)],
     own: &BTreeMap<InstanceId, Load>,
 ) {
     let now = clock::now();
     let mut pool = entry.pool.borrow_mut();
     let registered = entry.registered.borrow();
-    if whole {
+    if is_full {
         for endpoint in registered.values() {
             pool.set_others_load(now, *endpoint, Load::default());
         }
--- a/crates/vaneway-server/src/core/configuration.rs
+++ b/crates/vaneway-server/src/core/configuration.rs
@@ -197,7 +197,7 @@
 /// Reports all errors in a configuration, each with its path.
 pub fn check(configuration: &Configuration, findings: &Findings) {
     let services: BTreeSet<&str> = configuration.services.iter().map(|s| s.name.as_str()).collect();
-    let mut places = BTreeMap::new();
+    let mut seen = BTreeMap::new();
     for (i, route) in configuration.routes.iter().enumerate() {
         let path = format!("$.routes[{i}]");
         for target in &route.targets {
@@ -215,8 +215,8 @@
         if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
             findings.report(format!("{path}.prefix"), "must begin and end with `/`");
         }
-        let place = (route.host.to_ascii_lowercase(), route.prefix.clone());
-        if let Some(first) = places.insert(place, i) {
+        let key = (route.host.to_ascii_lowercase(), route.prefix.clone());
+        if let Some(first) = seen.insert(key, i) {
             let message = format!("same host and prefix as $.routes[{first}]");
             findings.report(format!("{path}.prefix"), message);
         }
--- a/crates/vaneway-server/src/core/configuration_change.rs
+++ b/crates/vaneway-server/src/core/configuration_change.rs
@@ -107,7 +107,7 @@
     }
 
     /// Number of items that are removed or inserted.
-    pub fn parts(&self) -> usize {
+    pub fn items(&self) -> usize {
         self.routes.items() + self.services.items() + self.organisations.items()
     }
 }
--- a/crates/vaneway-server/src/core/control/capacity.rs
+++ b/crates/vaneway-server/src/core/control/capacity.rs
@@ -99,7 +99,7 @@
     /// mistake the remaining replicas for what the load needs: until it knows the demand, it would
     /// order only a third of what is needed, for five seconds in which hardly any request is
     /// answered in time.
-    pub fn watch(&mut self, control: &Control) {
+    pub fn observe(&mut self, control: &Control) {
         let Some(current) = control.machine.borrow().current_configuration().cloned() else {
             return;
         };
@@ -212,16 +212,16 @@
     let now = clock::now();
     let mut running = BTreeMap::<(ZoneName, Kind), u32>::new();
     let mut leaving = BTreeMap::<ZoneName, u32>::new();
-    for (_, known) in control.registry.borrow().iter() {
-        let Some(details) = known.details.as_ref().filter(|d| d.service == service) else {
+    for (_, record) in control.registry.borrow().iter() {
+        let Some(details) = record.details.as_ref().filter(|d| d.service == service) else {
             continue;
         };
-        let is_alive = now.saturating_duration_since(known.last_report_at) < MAX_HEARTBEAT_AGE;
+        let is_alive = now.saturating_duration_since(record.last_report_at) < MAX_HEARTBEAT_AGE;
         let kind = if details.reclaimable { Kind::Reclaimable } else { Kind::OnDemand };
         let zone = details.availability_zone.clone();
-        if known.lifecycle == Lifecycle::Ready && is_alive {
+        if record.lifecycle == Lifecycle::Ready && is_alive {
             *running.entry((zone, kind)).or_default() += 1;
-        } else if kind == Kind::Reclaimable && known.lifecycle == Lifecycle::Draining && is_alive {
+        } else if kind == Kind::Reclaimable && record.lifecycle == Lifecycle::Draining && is_alive {
             *leaving.entry(zone).or_default() += 1;
         }
     }
@@ -246,13 +246,13 @@
     }
     let limits = control.limits.borrow();
     let registry = control.registry.borrow();
-    let lost = registry.iter().filter_map(|(instance, known)| {
+    let lost = registry.iter().filter_map(|(instance, record)| {
         let limit = limits
             .get(instance)
-            .filter(|limit| limit.matches_incarnation(known.born) && !limit.lifted)?;
-        let serves = known.details.as_ref().is_some_and(|details| details.service == service);
+            .filter(|limit| limit.matches_incarnation(record.born) && !limit.lifted)?;
+        let serves = record.details.as_ref().is_some_and(|details| details.service == service);
         let served = (limit.rate.per_second() / full_rate).min(1.0);
-        (serves && known.lifecycle == Lifecycle::Ready).then_some(1.0 - served)
+        (serves && record.lifecycle == Lifecycle::Ready).then_some(1.0 - served)
     });
     lost.sum()
 }
--- a/crates/vaneway-server/src/core/control/changes.rs
+++ b/crates/vaneway-server/src/core/control/changes.rs
@@ -14,7 +14,7 @@
 const MAX_CHANGES: usize = 64;
 
 /// Maximum number of routes, services and organisations in all kept changes together.
-const MAX_PARTS: usize = 4_096;
+const MAX_ITEMS: usize = 4_096;
 
 /// The latest configuration changes; the last one produced the committed configuration.
 #[derive(Debug, Default)]
@@ -35,9 +35,9 @@
             return;
         };
         self.changes.push_back(change);
-        let parts =
-            |changes: &VecDeque<_>| changes.iter().map(ConfigurationChange::parts).sum::<usize>();
-        while self.changes.len() > MAX_CHANGES || parts(&self.changes) > MAX_PARTS {
+        let items =
+            |changes: &VecDeque<_>| changes.iter().map(ConfigurationChange::items).sum::<usize>();
+        while self.changes.len() > MAX_CHANGES || items(&self.changes) > MAX_ITEMS {
             self.changes.pop_front();
         }
     }
--- a/crates/vaneway-server/src/core/control/clock.rs
+++ b/crates/vaneway-server/src/core/control/clock.rs
@@ -67,11 +67,8 @@
         times.push(own);
         let median = median(&mut times);
         let Some(established) = self.established else {
-            let mut others: Vec<Duration> = self
-                .others_cluster_time
-                .values()
-                .map(|established| established.since_epoch(now))
-                .collect();
+            let mut others: Vec<Duration> =
+                self.others_cluster_time.values().map(|time| time.since_epoch(now)).collect();
             let time = if others.is_empty() { median } else { self::median(&mut others) };
             // A box alone cannot tell whether its own clock is right.
             if times.len() >= 3 || !others.is_empty() {
--- a/crates/vaneway-server/src/core/control/dissemination.rs
+++ b/crates/vaneway-server/src/core/control/dissemination.rs
@@ -1,5 +1,5 @@
-//! Forwards what a control box learns about endpoints: registrations, requests under which they
-//! ended, and limits that they advertise.
+//! Forwards what a control box learns about endpoints: registrations, requests that were running
+//! when they crashed, and limits that they advertise.
 //!
 //! Data flow: endpoints register here; entry boxes and other control boxes send what they know.
 //! Whatever is new here is sent to the entry boxes, and also to the other control boxes unless one
@@ -37,10 +37,10 @@
 /// Kind of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum UpdateKind {
-    /// Status of endpoints.
+    /// Reports on the lifecycle of endpoints.
     Registrations,
-    /// Requests under which endpoints ended.
-    Findings,
+    /// Requests that were running when endpoints crashed.
+    QuarantineRecords,
     /// Limits that endpoints advertise.
     Limits,
 }
@@ -53,7 +53,7 @@
 #[derive(Debug, Default)]
 pub struct ForwardedCounts {
     registrations: Cell<usize>,
-    findings: Cell<usize>,
+    quarantine_records: Cell<usize>,
     limits: Cell<usize>,
 }
 
@@ -61,7 +61,7 @@
     fn count(&self, kind: UpdateKind, updates: usize) {
         let counter = match kind {
             UpdateKind::Registrations => &self.registrations,
-            UpdateKind::Findings => &self.findings,
+            UpdateKind::QuarantineRecords => &self.quarantine_records,
             UpdateKind::Limits => &self.limits,
         };
         counter.update(|count| count + updates);
@@ -69,14 +69,14 @@
 
     /// Logs the number of updates forwarded since the last check, if it is large.
     pub(super) fn log_if_many(&self) {
-        let (registrations, findings, limits) =
-            (self.registrations.take(), self.findings.take(), self.limits.take());
-        if registrations + findings + limits < LOG_THRESHOLD {
+        let (registrations, quarantine_records, limits) =
+            (self.registrations.take(), self.quarantine_records.take(), self.limits.take());
+        if registrations + quarantine_records + limits < LOG_THRESHOLD {
             return;
         }
         Line::new("news_passed_on")
             .with("registrations", registrations)
-            .with("findings", findings)
+            .with("findings", quarantine_records)
             .with("limits", limits)
             .warn();
     }
@@ -86,11 +86,11 @@
 pub(super) fn full_state(control: &Control) -> Vec<BetweenControl> {
     let now = control.time();
     let reports = control.registry.borrow().reports(clock::now());
-    let findings = control.quarantine.borrow().valid_records(now);
+    let records = control.quarantine.borrow().valid_records(now);
     let limits = control.limits.borrow().all();
     let mut all = vec![BetweenControl::Registry(reports)];
-    if !findings.is_empty() {
-        all.push(BetweenControl::QuarantineRecords(findings));
+    if !records.is_empty() {
+        all.push(BetweenControl::QuarantineRecords(records));
     }
     if !limits.is_empty() {
         all.push(BetweenControl::Limits(limits));
@@ -102,8 +102,8 @@
 pub(super) fn merge_from_control(control: &Control, message: BetweenControl) {
     match message {
         BetweenControl::Registry(reports) => merge_endpoints(control, &reports, Source::Control),
-        BetweenControl::QuarantineRecords(findings) => {
-            merge_quarantine_records(control, &findings, Source::Control);
+        BetweenControl::QuarantineRecords(records) => {
+            merge_quarantine_records(control, &records, Source::Control);
         }
         BetweenControl::Limits(reported) => merge_limits(control, &reported, Source::Control),
         // The answer to a ping contains nothing that the ping on the other connection does not.
@@ -163,18 +163,19 @@
     }
 }
 
-/// Merges requests under which endpoints ended and forwards the new ones to the subscribed entry
-/// boxes and to the other control boxes, which may receive reports of other entry boxes.
+/// Merges records of requests that were running when endpoints crashed, and forwards the new ones
+/// to the subscribed entry boxes and to the other control boxes, to which other entry boxes may be
+/// connected.
 pub(super) fn merge_quarantine_records(
     control: &Control,
-    findings: &[QuarantineRecord],
+    records: &[QuarantineRecord],
     source: Source,
 ) {
-    let updates = control.quarantine.borrow_mut().merge(control.time(), findings);
+    let updates = control.quarantine.borrow_mut().merge(control.time(), records);
     if updates.is_empty() {
         return;
     }
-    control.forwarded.count(UpdateKind::Findings, updates.len());
+    control.forwarded.count(UpdateKind::QuarantineRecords, updates.len());
     links::send_to_load_subscribers(control, &ToEntry::QuarantineRecords(updates.clone()));
     if source != Source::Control {
         peers::send_to_all(control, BetweenControl::QuarantineRecords(updates));
--- a/crates/vaneway-server/src/core/control/duties.rs
+++ b/crates/vaneway-server/src/core/control/duties.rs
@@ -52,7 +52,7 @@
 /// Number of windows before the present one for which a report may still be useful.
 const MAX_WINDOWS_BACK: u64 = 4;
 
-/// Maximum size of an answer of the cloud in bytes.
+/// Maximum size of a response of the cloud in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
 /// Performs the leader's duties until dropped.
@@ -67,7 +67,7 @@
             if holds_duty(&control) {
                 orders.place_due(&control, &cloud, &protocol).await;
             } else {
-                orders.watch(&control);
+                orders.observe(&control);
             }
         }
         if cloud.usage_reports {
@@ -95,8 +95,8 @@
     !reported && (window >= first || ledger.has_window(window))
 }
 
-/// Whether the use from `begin` to `end` is completely reported, where `known` entry boxes may be
-/// running: each has reported since. If no box has, the use is not known.
+/// Whether the usage from `begin` to `end` is completely reported, where `known` entry boxes may be
+/// running: each has reported since. If no box has, the usage is unknown.
 pub fn is_usage_complete(ledger: &UsageLedger, begin: Duration, end: Duration, known: u32) -> bool {
     let (first, last) = (vaneway_quota::slot(begin), vaneway_quota::slot(end));
     !ledger.awaits_reports(first, last) && ledger.reporters_since(last) >= known.max(1)
@@ -136,9 +136,9 @@
 /// Result of a call to the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallResult {
-    /// The cloud answered with this status.
+    /// The cloud responded with this status.
     Answered(StatusCode),
-    /// No answer: the cloud may or may not have processed the call.
+    /// No response: the cloud may or may not have processed the call.
     Unknown,
 }
 
--- a/crates/vaneway-server/src/core/control/entry_updates.rs
+++ b/crates/vaneway-server/src/core/control/entry_updates.rs
@@ -1,7 +1,7 @@
 //! Updates about each other that a control box sends to entry boxes.
 //!
-//! Data flow: each entry box subscribes (`subscribe`) to updates at a few control boxes. The
-//! others' use of quotas is sent at a fixed interval ([`publish_usage`]), since it changes all the
+//! Data flow: each entry box subscribes (`subscribe`) to updates at a few control boxes. The quota
+//! usage of the others is sent at a fixed interval ([`publish_usage`]), since it changes all the
 //! time; loads and cached prompt parts are sent as soon as they change ([`publish_loads`]), the
 //! same bytes to all.
 
@@ -17,7 +17,7 @@
 
 use crate::core::cluster::wire::BetweenControl;
 use crate::core::cluster::wire::LOAD_REPORT_INTERVAL;
-use crate::core::cluster::wire::LOAD_REPORTS_PER_FULL;
+use crate::core::cluster::wire::LOAD_UPDATES_PER_FULL;
 use crate::core::cluster::wire::SLOTS_PER_REPORT;
 use crate::core::cluster::wire::ToEntry;
 use crate::core::cluster::wire::USAGE_REPORT_INTERVAL;
@@ -88,7 +88,7 @@
     times.collect()
 }
 
-/// Sends subscribed entry boxes the others' use of quotas: all slots, or the latest.
+/// Sends subscribed entry boxes the quota usage of the others: all slots, or the latest.
 async fn send_usage(control: &Control, all: bool) {
     let links = subscribers(control, |subscription| subscription.quotas);
     if links.is_empty() {
@@ -119,7 +119,7 @@
     loop {
         control.timers.sleep(LOAD_REPORT_INTERVAL).await;
         round += 1;
-        let full = round.is_multiple_of(LOAD_REPORTS_PER_FULL);
+        let full = round.is_multiple_of(LOAD_UPDATES_PER_FULL);
         send_parts(&control, full).await;
         send_limits(&control).await;
         let loads = {
@@ -130,7 +130,7 @@
         if loads.is_empty() && !full {
             continue;
         }
-        let message = EncodedFrame::new(&ToEntry::Loads { whole: full, loads });
+        let message = EncodedFrame::new(&ToEntry::Loads { is_full: full, loads });
         for link in subscribers(&control, |subscription| subscription.loads) {
             control.turns.next().await;
             // An entry box with a queued update gets the next full one instead of a backlog of old
@@ -218,26 +218,27 @@
     }
     if subscription.loads && !before.loads {
         let loads = control.usage_ledger.borrow_mut().loads().all();
-        link.outgoing.send(&ToEntry::Loads { whole: true, loads });
+        link.outgoing.send(&ToEntry::Loads { is_full: true, loads });
         link.outgoing.send(&ToEntry::Parts(control.cached_parts.borrow().all()));
-        let findings = control.quarantine.borrow().valid_records(control.time());
-        if !findings.is_empty() {
-            link.outgoing.send(&ToEntry::QuarantineRecords(findings));
+        let records = control.quarantine.borrow().valid_records(control.time());
+        if !records.is_empty() {
+            link.outgoing.send(&ToEntry::QuarantineRecords(records));
         }
         let limits = control.limits.borrow().all();
         if !limits.is_empty() {
             link.outgoing.send(&ToEntry::Limits(limits));
         }
-        // The entry box needs its number from now on.
+        // From now on the entry box uses the number that this box sends, so the next one is sent
+        // even if it is the same as before.
         link.box_number.set(None);
     }
 }
 
-/// Use of quotas and the boxes that share them, the same for all receivers of an update.
+/// Quota usage and the boxes that share the quotas, the same for all receivers of an update.
 struct QuotaUpdate {
     /// Entry boxes that report in time; empty if this box does not know the time.
     reporting: BTreeSet<EntryIncarnation>,
-    /// Cluster time up to which the use of all of them is known.
+    /// Cluster time up to which the usage of all of them is known.
     as_of: Option<Duration>,
     known: u32,
     /// The first slot in the update.
@@ -255,7 +256,7 @@
     }
 
     /// The message for one entry box. The sums are those of now, not of when the update began: the
-    /// entry box may have reported more since, and its own use is subtracted from them.
+    /// entry box may have reported more since, and its own usage is subtracted from them.
     fn for_entry(&self, control: &Control, entry: &EntryIncarnation) -> ToEntry {
         let time = control.time();
         let mut ledger = control.usage_ledger.borrow_mut();
--- a/crates/vaneway-server/src/core/control/links.rs
+++ b/crates/vaneway-server/src/core/control/links.rs
@@ -14,8 +14,8 @@
 use crate::core::cluster::wire::CONFIGURATION_TOPIC;
 use crate::core::cluster::wire::CONFIGURATION_VERSION_TOPIC;
 use crate::core::cluster::wire::FromEntry;
-use crate::core::cluster::wire::HOST_SILENCE_TIMEOUT;
-use crate::core::cluster::wire::PROCESS_SILENCE_TIMEOUT;
+use crate::core::cluster::wire::HOST_IDLE_TIMEOUT;
+use crate::core::cluster::wire::PROCESS_IDLE_TIMEOUT;
 use crate::core::cluster::wire::ToControl;
 use crate::core::cluster::wire::ToEntry;
 use crate::core::cluster::wire::Wanted;
@@ -161,8 +161,8 @@
         }
         handle_message(&control, &outgoing, &mut sender, message);
     };
-    let silence = IdleTimeouts { host: HOST_SILENCE_TIMEOUT, process: PROCESS_SILENCE_TIMEOUT };
-    let why = frames::drive(&control.timers, &stream, &outgoing, silence, on_frame).await;
+    let idle_timeouts = IdleTimeouts { host: HOST_IDLE_TIMEOUT, process: PROCESS_IDLE_TIMEOUT };
+    let why = frames::drive(&control.timers, &stream, &outgoing, idle_timeouts, on_frame).await;
     if let Sender::Entry { link, incarnation } = sender {
         control.entry_links.borrow_mut().remove(&link);
         // The entry box may have reconnected before this connection was found to be lost.
@@ -215,8 +215,8 @@
         ToControl::Entry(FromEntry::Parts(parts)) => {
             control.cached_parts.borrow_mut().record(clock::now(), &parts);
         }
-        ToControl::Entry(FromEntry::QuarantineRecords(findings)) => {
-            dissemination::merge_quarantine_records(control, &findings, Source::Entry);
+        ToControl::Entry(FromEntry::QuarantineRecords(records)) => {
+            dissemination::merge_quarantine_records(control, &records, Source::Entry);
         }
         ToControl::Entry(FromEntry::Limits(limits)) => {
             dissemination::merge_limits(control, &limits, Source::Entry);
--- a/crates/vaneway-server/src/core/control/peers.rs
+++ b/crates/vaneway-server/src/core/control/peers.rs
@@ -17,7 +17,7 @@
 
 use crate::core::cluster::reconnect::keep_connected;
 use crate::core::cluster::wire::BetweenControl;
-use crate::core::cluster::wire::HOST_SILENCE_TIMEOUT;
+use crate::core::cluster::wire::HOST_IDLE_TIMEOUT;
 use crate::core::cluster::wire::LOG_ENTRIES_TOPIC;
 use crate::core::cluster::wire::PING_INTERVAL;
 use crate::core::cluster::wire::SNAPSHOT_TOPIC;
@@ -151,8 +151,8 @@
         Some(message) => dissemination::merge_from_control(control, message),
         None => control.unreadable_messages.update(|count| count + 1),
     };
-    let silence = IdleTimeouts { host: HOST_SILENCE_TIMEOUT, process: HOST_SILENCE_TIMEOUT };
-    let why = frames::drive(&control.timers, &stream, &outgoing, silence, on_frame).await;
+    let idle_timeouts = IdleTimeouts { host: HOST_IDLE_TIMEOUT, process: HOST_IDLE_TIMEOUT };
+    let why = frames::drive(&control.timers, &stream, &outgoing, idle_timeouts, on_frame).await;
     if let Some(peer) = control.peers.borrow().get(&address) {
         *peer.outgoing.borrow_mut() = None;
     }
--- a/crates/vaneway-server/src/core/control/protocol.rs
+++ b/crates/vaneway-server/src/core/control/protocol.rs
@@ -56,8 +56,8 @@
     /// Builds an order of replicas of a service.
     fn capacity_order(&self, holder: &Holder, service: &str, order: &Order) -> EndpointRequest;
 
-    /// Interprets the response to an order: a conflict is a refusal, unless the cloud's protocol
-    /// defines another one.
+    /// Interprets the status of the response to an order. By default, a conflict (409) is a
+    /// refusal; a cloud whose protocol signals refusals differently overrides this.
     fn order_answer(&self, status: StatusCode) -> Answer {
         match status {
             StatusCode::CONFLICT => Answer::Refused,
--- a/crates/vaneway-server/src/core/control/state.rs
+++ b/crates/vaneway-server/src/core/control/state.rs
@@ -137,7 +137,7 @@
     pub usage_ledger: RefCell<UsageLedger>,
     /// Prompt parts cached at endpoints.
     pub(crate) cached_parts: RefCell<PartLedger>,
-    /// Requests under which endpoints crashed, as reported by entry boxes.
+    /// Requests that were running when endpoints crashed, as reported by entry boxes.
     pub(crate) quarantine: RefCell<Quarantine>,
     /// Limits advertised by endpoints, as reported by entry boxes.
     pub(crate) limits: RefCell<EndpointLimits>,
@@ -214,12 +214,12 @@
         let registry = self.registry.borrow();
         let endpoints: Vec<_> = registry
             .iter()
-            .map(|(instance, known)| {
+            .map(|(instance, record)| {
                 json!({
                     "instance": instance,
-                    "standing": known.lifecycle.name(),
-                    "sequence": known.sequence,
-                    "heard_ms_ago": now.saturating_duration_since(known.last_report_at).as_millis() as u64,
+                    "standing": record.lifecycle.name(),
+                    "sequence": record.sequence,
+                    "heard_ms_ago": now.saturating_duration_since(record.last_report_at).as_millis() as u64,
                 })
             })
             .collect();
--- a/crates/vaneway-server/src/core/limits.rs
+++ b/crates/vaneway-server/src/core/limits.rs
@@ -28,7 +28,7 @@
     /// Whether the endpoint ran the request successfully.
     pub succeeded: bool,
     /// The limit that it advertises, if any.
-    pub named: Result<Option<Rate>, NumberError>,
+    pub advertised: Result<Option<Rate>, NumberError>,
 }
 
 /// Records what the head of a response states.
@@ -37,12 +37,12 @@
 /// from a component of the endpoint that doesn't know the limit, so its absence there changes
 /// nothing.
 pub fn observe_response(entry: &Entry, observation: &LimitObservation<'_>) {
-    let LimitObservation { endpoint, request, service, succeeded, named } = *observation;
-    if named == Ok(None) && (!succeeded || entry.limits.borrow().is_empty()) {
+    let LimitObservation { endpoint, request, service, succeeded, advertised } = *observation;
+    if advertised == Ok(None) && (!succeeded || entry.limits.borrow().is_empty()) {
         return;
     }
     let name = entry.pool.borrow().get(endpoint).spec.name.clone();
-    let rate = match named {
+    let rate = match advertised {
         Ok(rate) => rate,
         Err(error) => return log_unreadable(entry, &name, observation, error),
     };
@@ -98,14 +98,16 @@
 
 fn is_in_use(entry: &Entry, name: &str) -> bool {
     let registered = entry.registered.borrow().get(name).copied();
-    let is_set = || entry.settings.replicas.iter().any(|replica| replica.name == name);
+    let in_settings = || entry.settings.replicas.iter().any(|replica| replica.name == name);
     let pool = entry.pool.borrow();
-    registered.map_or_else(is_set, |endpoint| pool.get(endpoint).state != EndpointState::Gone)
+    registered.map_or_else(in_settings, |endpoint| pool.get(endpoint).state != EndpointState::Gone)
 }
 
 /// Whether this incarnation of an endpoint may still respond, as far as a control box knows.
 pub fn may_answer(registry: &Registry, name: &str, born: StartMillis) -> bool {
-    registry.get(name).is_some_and(|known| known.born <= born && known.lifecycle < Lifecycle::Gone)
+    registry
+        .get(name)
+        .is_some_and(|record| record.born <= born && record.lifecycle < Lifecycle::Gone)
 }
 
 /// The incarnation that an endpoint of the pool represents; none if a newer one has replaced it. An
--- a/crates/vaneway-server/src/core/loads.rs
+++ b/crates/vaneway-server/src/core/loads.rs
@@ -29,7 +29,7 @@
 }
 
 impl LoadLedger {
-    /// Replaces the whole load of an entry box.
+    /// Replaces the complete load of an entry box.
     pub fn replace(&mut self, entry: &EntryIncarnation, loads: &[(InstanceId, Load)]) {
         let known = self.reported.get(entry);
         let now: BTreeMap<&InstanceId, Load> = loads.iter().map(|(id, load)| (id, *load)).collect();
--- a/crates/vaneway-server/src/core/occupancy.rs
+++ b/crates/vaneway-server/src/core/occupancy.rs
@@ -84,7 +84,7 @@
     }
 
     /// Whether the first chunk of the response has arrived.
-    pub fn is_arriving(&self) -> bool {
+    pub fn is_responding(&self) -> bool {
         self.responding
     }
 
--- a/crates/vaneway-server/src/core/quotas.rs
+++ b/crates/vaneway-server/src/core/quotas.rs
@@ -131,7 +131,7 @@
     }
 
     /// Returns the units that were charged for a request that did not run.
-    pub fn give_back(&self, now: Duration, organisation: &str, units: u64) {
+    pub fn refund(&self, now: Duration, organisation: &str, units: u64) {
         if let Some(known) = self.by_organisation.borrow_mut().get_mut(organisation) {
             known.quota.refund(now, units);
         }
@@ -189,11 +189,11 @@
         let active = quotas.iter().filter(|(_, known)| {
             known.quota.has_unreported_demand(now) || all && known.quota.requested_units() > 0
         });
-        let use_of = |(name, known): (&String, &OrganisationQuota)| {
+        let usage_of = |(name, known): (&String, &OrganisationQuota)| {
             let slots = known.quota.own_usage_since(first).collect();
             (name.clone(), OwnQuotaUsage { asked: known.quota.requested_units(), slots })
         };
-        active.map(use_of).collect()
+        active.map(usage_of).collect()
     }
 }
 
--- a/crates/vaneway-server/src/core/report_tracker.rs
+++ b/crates/vaneway-server/src/core/report_tracker.rs
@@ -136,8 +136,8 @@
         since.into_iter().chain(self.done.keys()).collect::<BTreeSet<_>>().len() as u32
     }
 
-    /// Which of the `known` entry boxes are reporting at `now`, and which were over all of the last
-    /// `slots`.
+    /// Which of the `known` entry boxes are reporting at `now`, and which of them were reporting
+    /// over all of the last `slots` slots.
     pub fn coverage(&self, now: ClusterNow, slots: u64, known: u32) -> ReportCoverage {
         let is_reporting =
             |reports: &&Reports| now.time.abs_diff(reports.received_at) <= REPORT_MAX_AGE;
--- a/crates/vaneway-server/src/core/settings/read.rs
+++ b/crates/vaneway-server/src/core/settings/read.rs
@@ -176,7 +176,7 @@
     // Already read to choose the role; here it is only marked as known.
     fields.optional("role");
     let name = fields.string("name");
-    let availability_zones = texts(&mut fields, "availability_zones");
+    let availability_zones = strings(&mut fields, "availability_zones");
     let availability_zone = zone(fields.required("availability_zone"), &availability_zones);
     let listen = address(fields.required("listen"));
     let operators = fields.required("operators").and_then(|node| node.object()).map(operators);
@@ -280,7 +280,7 @@
 }
 
 fn cloud(mut fields: Fields<'_>) -> CloudSettings {
-    let duties = texts(&mut fields, "duties");
+    let duties = strings(&mut fields, "duties");
     let settings = CloudSettings {
         address: address(fields.required("address")),
         usage_reports: duties.iter().any(|duty| duty == "usage"),
@@ -341,7 +341,7 @@
     addresses
 }
 
-fn texts(fields: &mut Fields<'_>, name: &'static str) -> Vec<String> {
+fn strings(fields: &mut Fields<'_>, name: &'static str) -> Vec<String> {
     fields.items(name).iter().filter_map(JsonNode::string).collect()
 }
 
@@ -354,8 +354,8 @@
     Duration::from_millis(fields.integer(name, range, default))
 }
 
-/// Reads an address. Returns the unspecified address if it is missing or invalid, which has been
-/// reported then.
+/// Reads an address. Returns the unspecified address if it is missing or invalid; a finding has
+/// been added then.
 fn address(node: Option<JsonNode<'_>>) -> SocketAddr {
     let expected = "an IP address and port such as `127.0.0.1:8080`";
     node.and_then(|node| node.parse(expected, |text| text.parse().ok()))
@@ -437,7 +437,7 @@
         })
     });
     let kind = kind.unwrap_or(ServiceKind::Plain);
-    let models = texts(&mut fields, "models");
+    let models = strings(&mut fields, "models");
     match (kind, models.is_empty()) {
         (ServiceKind::Model, true) => {
             fields.node().report("a model service needs `models`, add at least one");
--- a/crates/vaneway-server/src/core/usage.rs
+++ b/crates/vaneway-server/src/core/usage.rs
@@ -81,8 +81,8 @@
     }
 
     /// Counts a run that is sent to an engine of a service.
-    pub fn begin_run(&mut self, service: &str, prompt: u64, unread: u64) {
-        self.engine(service).begin(prompt, unread);
+    pub fn begin_run(&mut self, service: &str, prompt_tokens: u64, uncached_tokens: u64) {
+        self.engine(service).begin(prompt_tokens, uncached_tokens);
     }
 
     /// Records the measurements of a run.
@@ -168,8 +168,8 @@
 const RETAINED_DEMAND_SLOTS: usize = 16;
 
 impl UsageLedger {
-    /// Merges a report. Windows after the cluster time `now` are ignored but for the allowed clock
-    /// difference, since nothing can have been used then.
+    /// Merges a report. Windows that begin after the cluster time `now` by more than the allowed
+    /// clock difference are ignored, since nothing can have been used in them yet.
     pub fn merge(&mut self, now: ClusterNow, entry: &EntryIncarnation, report: &UsageReport) {
         for (window, counts) in &report.windows {
             if *window > now.window + MAX_AHEAD {
--- a/crates/vaneway-server/src/util/http_server.rs
+++ b/crates/vaneway-server/src/util/http_server.rs
@@ -164,7 +164,8 @@
     }
 }
 
-/// Whether a connection has a request in progress, and since when it has received a request head.
+/// Whether a connection has a request in progress, and when the first byte of the next request's
+/// head arrived.
 #[derive(Debug, Default)]
 pub struct Activity {
     busy: Cell<bool>,
