--- a/crates/vaneway-agreement/src/node.rs
+++ b/crates/vaneway-agreement/src/node.rs
@@ -10,9 +10,9 @@
 //! [`Event::Persisted`] has covered it, and a leader counts its own copy of an entry only from then
 //! on.
 //!
-//! Lease: a heartbeat that a quorum has answered was received by these members after it was sent.
-//! None of them votes for another candidate within [`Config::election_timeout`] of receiving it. So
-//! until then, less the clock drift, there can be no other leader.
+//! Lease: a member that receives a heartbeat votes for no other candidate within
+//! [`Config::election_timeout`] of receiving it. So once a quorum has answered a heartbeat, there
+//! can be no other leader until that long after it was sent, less the clock drift.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
--- a/crates/vaneway-marks/src/lib.rs
+++ b/crates/vaneway-marks/src/lib.rs
@@ -34,15 +34,15 @@
 /// Interval at which [`Marks::tick`] is called.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Number of peers that a new mark is pushed to. A group with fewer peers gets it from the first
-/// box.
+/// Number of peers that a new mark is pushed to. If there are no more peers than that, all of them
+/// receive it from the first box.
 const PUSH_FANOUT: usize = 8;
 
 /// Number of peers that receive a digest at each tick.
 pub const DIGEST_FANOUT: usize = 2;
 
-/// Maximum number of marks in a message: about half of the smallest datagram that every network
-/// carries.
+/// Maximum number of marks in a message. They fill about half of the smallest datagram that every
+/// network carries.
 const MAX_MARKS_PER_MESSAGE: usize = 8;
 
 /// How long a mark is kept after its box is gone: longer than the lag of the platform's list.
--- a/crates/vaneway-server/src/core/cluster/wire.rs
+++ b/crates/vaneway-server/src/core/cluster/wire.rs
@@ -48,8 +48,8 @@
 /// whose last requests may have started after the previous report.
 pub const WINDOWS_PER_REPORT: usize = 2;
 
-/// Every how many usage reports, and every how many usage updates, a full one is sent for boxes that
-/// missed some: it repeats all retained slots, and a report also all retained windows.
+/// Every how many usage reports, and every how many usage updates, a full one is sent for boxes
+/// that missed some: it repeats all retained slots, and a report also all retained windows.
 pub const USAGE_REPORTS_PER_FULL: u64 = 18;
 
 /// Time between two pings on a connection.
--- a/crates/vaneway-server/src/core/entry.rs
+++ b/crates/vaneway-server/src/core/entry.rs
@@ -251,8 +251,8 @@
         self.settings.routing.seed.wrapping_add(number)
     }
 
-    /// Chooses an endpoint for a request, in response to `Action::Choose`. Fills in what the query
-    /// states about this box.
+    /// Chooses an endpoint for a request, in response to `Action::Choose`. Fills in the
+    /// query's fields about this box.
     pub fn choose(&self, query: Query<'_>) -> Event {
         let home = &self.settings.availability_zone;
         let query = Query { home, sender: self.sender(), ..query };
@@ -265,8 +265,8 @@
         }
     }
 
-    /// This box's share of the limits that endpoints advertise depends on cluster time and on its
-    /// number.
+    /// The cluster time and the number of this box, which determine its share of the limits that
+    /// endpoints advertise.
     fn sender(&self) -> Sender {
         Sender { now: self.cluster_time(), number: self.box_number.get() }
     }
--- a/crates/vaneway-server/src/core/loads.rs
+++ b/crates/vaneway-server/src/core/loads.rs
@@ -1,7 +1,7 @@
 //! Open requests and tokens at endpoints, summed up over all entry boxes, without I/O.
 //!
 //! The sums are maintained incrementally: each entry box changes a few of them between two reports,
-//! whereas adding them up anew takes as many numbers as there are boxes times endpoints.
+//! whereas adding them up anew would take boxes × endpoints numbers each time.
 //!
 //! Data flow: entry boxes report all of their load when they connect and at intervals
 //! ([`LoadLedger::replace`]), and only the changes in between ([`LoadLedger::update`]). The next
--- a/crates/vaneway-server/src/core/report_tracker.rs
+++ b/crates/vaneway-server/src/core/report_tracker.rs
@@ -30,8 +30,8 @@
 const MAX_SLOT_ADVANCE: u64 = 2;
 
 /// Number of slots without a report after which an incarnation of an entry box is removed: half a
-/// minute, longer than a window may still be reported late, and longer than an entry box may be cut
-/// off and still deliver its report.
+/// minute, which is longer than a window can still be reported after its end, and longer than an
+/// entry box can be cut off and still deliver its report.
 const INCARNATION_RETENTION_SLOTS: u64 = 60;
 
 /// The reports received from each incarnation of an entry box.
--- a/crates/vaneway-server/src/core/usage.rs
+++ b/crates/vaneway-server/src/core/usage.rs
@@ -33,7 +33,7 @@
 /// Number of requests by organisation.
 pub type Counts = BTreeMap<String, u64>;
 
-/// Number of windows that an entry box retains: more than a report may be late.
+/// Number of windows that an entry box retains: together longer than a report may be late.
 pub const RETAINED_WINDOWS: usize = 8;
 
 /// Usage by the requests of one entry box.
