--- a/crates/vaneway-agreement/src/node.rs
+++ b/crates/vaneway-agreement/src/node.rs
@@ -10,9 +10,9 @@
 //! [`Event::Persisted`] has covered it, and a leader counts its own copy of an entry only from then
 //! on.
 //!
-//! Lease: a heartbeat that a quorum has answered was received by these members after it was sent.
-//! None of them votes for another candidate within [`Config::election_timeout`] of receiving it. So
-//! until then, less the clock drift, there can be no other leader.
+//! Lease: a member that receives a heartbeat votes for no other candidate within
+//! [`Config::election_timeout`] of receiving it. So once a quorum has answered a heartbeat, there
+//! can be no other leader until that long after it was sent, less the clock drift.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -254,8 +254,9 @@
         self.progress.get(&id).and_then(|progress| progress.last_acked_sent)
     }
 
-    /// Whether `id` answered a heartbeat sent after `first_sent`, or was first sent anything after
-    /// it.
+    /// Whether `id` answered a heartbeat that was sent at `since` or later, or was first sent
+    /// anything at or after that time, so that it may not have had the time to answer. Always true
+    /// without `since`.
     fn is_responsive(&self, id: NodeId, since: Option<Instant>) -> bool {
         let Some(since) = since else { return true };
         let first_sent = self.progress.get(&id).map(|progress| progress.first_sent);
--- a/crates/vaneway-server/src/core/loads.rs
+++ b/crates/vaneway-server/src/core/loads.rs
@@ -1,7 +1,7 @@
 //! Open requests and tokens at endpoints, summed up over all entry boxes, without I/O.
 //!
 //! The sums are maintained incrementally: each entry box changes a few of them between two reports,
-//! whereas adding them up anew takes as many numbers as there are boxes times endpoints.
+//! whereas adding them up anew would take boxes × endpoints numbers each time.
 //!
 //! Data flow: entry boxes report all of their load when they connect and at intervals
 //! ([`LoadLedger::replace`]), and only the changes in between ([`LoadLedger::update`]). The next
@@ -29,7 +29,7 @@
 }
 
 impl LoadLedger {
-    /// Replaces the whole load of an entry box.
+    /// Replaces the complete load of an entry box.
     pub fn replace(&mut self, entry: &EntryIncarnation, loads: &[(InstanceId, Load)]) {
         let known = self.reported.get(entry);
         let now: BTreeMap<&InstanceId, Load> = loads.iter().map(|(id, load)| (id, *load)).collect();
--- a/crates/vaneway-server/src/core/report_tracker.rs
+++ b/crates/vaneway-server/src/core/report_tracker.rs
@@ -30,8 +30,8 @@
 const MAX_SLOT_ADVANCE: u64 = 2;
 
 /// Number of slots without a report after which an incarnation of an entry box is removed: half a
-/// minute, longer than a window may still be reported late, and longer than an entry box may be cut
-/// off and still deliver its report.
+/// minute, which is longer than a window can still be reported after its end, and longer than an
+/// entry box can be cut off and still deliver its report.
 const INCARNATION_RETENTION_SLOTS: u64 = 60;
 
 /// The reports received from each incarnation of an entry box.
@@ -136,8 +136,8 @@
         since.into_iter().chain(self.done.keys()).collect::<BTreeSet<_>>().len() as u32
     }
 
-    /// Which of the `known` entry boxes are reporting at `now`, and which were over all of the last
-    /// `slots`.
+    /// Which of the `known` entry boxes are reporting at `now`, and which of them were reporting
+    /// over all of the last `slots` slots.
     pub fn coverage(&self, now: ClusterNow, slots: u64, known: u32) -> ReportCoverage {
         let is_reporting =
             |reports: &&Reports| now.time.abs_diff(reports.received_at) <= REPORT_MAX_AGE;
