--- a/crates/vaneway-engine/src/demand.rs
+++ b/crates/vaneway-engine/src/demand.rs
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Demand {
     /// Replicas busy processing prompts (prefill).
-    pub reading: f64,
+    pub prefill: f64,
     /// Replicas busy generating, with all slots of a replica in use.
     pub generating: f64,
     /// Replicas whose memory the prompts fill.
@@ -68,14 +68,14 @@
     /// Replicas in all. An engine alternates between prefill and generating, so these add up;
     /// memory is occupied at the same time.
     pub fn replicas(&self) -> f64 {
-        (self.reading + self.generating).max(self.memory)
+        (self.prefill + self.generating).max(self.memory)
     }
 
     /// Name of the resource that requires the most replicas, for the log.
     pub fn binding(&self) -> &'static str {
-        if self.memory > self.reading + self.generating {
+        if self.memory > self.prefill + self.generating {
             "memory"
-        } else if self.reading > self.generating {
+        } else if self.prefill > self.generating {
             "reading"
         } else {
             "generating"
@@ -86,9 +86,9 @@
 impl Speeds {
     /// Number of replicas that `rates` keep busy, while `running` replicas serve.
     pub fn demand(&self, rates: Rates, size: EngineSize, running: u32) -> Demand {
-        let reading = rates.uncached_tokens * self.prompt_token_s;
+        let prefill = rates.uncached_tokens * self.prompt_token_s;
         // The measured gap between events includes prefill of other prompts.
-        let prefill_share = (reading / f64::from(running.max(1))).min(MAX_PREFILL_SHARE);
+        let prefill_share = (prefill / f64::from(running.max(1))).min(MAX_PREFILL_SHARE);
         let undisturbed_gap = self.gap_s * (1.0 - prefill_share);
         let generating =
             rates.runs * self.gaps_per_run * undisturbed_gap / f64::from(size.batch_slots.max(1));
@@ -98,6 +98,6 @@
         } else {
             rates.prompt_tokens * run_time / size.memory_tokens as f64
         };
-        Demand { reading, generating, memory }
+        Demand { prefill, generating, memory }
     }
 }
--- a/crates/vaneway-limit/src/lib.rs
+++ b/crates/vaneway-limit/src/lib.rs
@@ -14,8 +14,8 @@
 //! in each interval, and each of these belongs to one box, determined by its [`BoxNumber`]. A box
 //! computes its share without communication, so the total holds while boxes are cut off. What a box
 //! does not use in an interval is lost, so nothing can accumulate and be sent in a burst. While
-//! boxes disagree on their number, some requests belong to two of them or to none, but the mean
-//! rate remains the same.
+//! boxes disagree on how many boxes there are, some requests belong to two of them or to none, but
+//! the mean rate remains the same.
 
 mod gate;
 mod named;
--- a/crates/vaneway-limit/src/named.rs
+++ b/crates/vaneway-limit/src/named.rs
@@ -11,7 +11,7 @@
 
 use crate::Rate;
 
-/// Time since 1970 by the cluster's clock.
+/// Time since the Unix epoch by the cluster's clock.
 pub type EpochTime = Duration;
 
 /// How long a limit is retained that was lifted, or whose endpoint is not in use: longer than
--- a/crates/vaneway-quarantine/src/lib.rs
+++ b/crates/vaneway-quarantine/src/lib.rs
@@ -6,8 +6,8 @@
 //!
 //! Data flow: a box reports to its [`Quarantine`] which of its requests was running when an
 //! endpoint crashed ([`Quarantine::record_crash`]) and which requests received a complete response
-//! ([`Quarantine::clear`]). [`Quarantine::take_updates`] returns the [`QuarantineRecord`]s to send to
-//! other boxes, and [`Quarantine::merge`] applies the records of other boxes.
+//! ([`Quarantine::clear`]). [`Quarantine::take_updates`] returns the [`QuarantineRecord`]s to send
+//! to other boxes, and [`Quarantine::merge`] merges those of other boxes.
 //!
 //! The evidence against a request is the set of endpoint incarnations that crashed while running
 //! it: an endpoint that restarts under the same name and crashes again counts again. A crash is
@@ -41,7 +41,7 @@
 pub type Fingerprint = u64;
 
 /// Time since the Unix epoch by the cluster's clock.
-pub type Time = Duration;
+pub type EpochTime = Duration;
 
 /// Counted crashes that condemn a request. With one, most requests that run beside the one to blame
 /// would be condemned too.
@@ -124,22 +124,22 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Case {
     /// Endpoints that crashed while running it, with its progress at each.
-    pub ends: BTreeMap<Incarnation, Progress>,
+    pub crashes: BTreeMap<Incarnation, Progress>,
     /// The conclusion from the evidence.
     pub verdict: Verdict,
     /// When the verdict was last changed or confirmed.
-    pub at: Time,
+    pub at: EpochTime,
 }
 
 /// A record that boxes exchange.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineRecord {
     /// An endpoint has exited, whether or not it ran a request.
-    EndpointEnded {
+    EndpointExited {
         /// The endpoint.
         endpoint: Incarnation,
         /// When a box first noticed it.
-        at: Time,
+        at: EpochTime,
     },
     /// The case of a request.
     Case {
@@ -152,23 +152,23 @@
 
 impl Case {
     /// Whether the verdict has not expired.
-    fn is_valid(&self, now: Time) -> bool {
+    fn is_valid(&self, now: EpochTime) -> bool {
         now < self.at + self.verdict.retention()
     }
 }
 
 impl QuarantineRecord {
     /// Whether the record has not expired.
-    fn is_valid(&self, now: Time) -> bool {
+    fn is_valid(&self, now: EpochTime) -> bool {
         match self {
-            Self::EndpointEnded { at, .. } => is_exit_valid(now, *at),
+            Self::EndpointExited { at, .. } => is_exit_valid(now, *at),
             Self::Case { case, .. } => case.is_valid(now),
         }
     }
 }
 
 /// Whether the exit of an endpoint that was noticed at `at` has not expired.
-fn is_exit_valid(now: Time, at: Time) -> bool {
+fn is_exit_valid(now: EpochTime, at: EpochTime) -> bool {
     now < at + SUSPICION_RETENTION
 }
 
@@ -177,7 +177,7 @@
 pub struct Quarantine {
     cases: BTreeMap<Fingerprint, Case>,
     /// Endpoints that have exited, and when that was first noticed.
-    exits: BTreeMap<Incarnation, Time>,
+    exits: BTreeMap<Incarnation, EpochTime>,
     /// Records of this box that have not been returned for sending yet.
     unsent: Vec<QuarantineRecord>,
 }
@@ -198,36 +198,39 @@
         &self.cases
     }
 
-    /// Records that the last endpoint of `ends` crashed while running a request of this box; the
+    /// Records that the last endpoint of `crashes` crashed while running a request of this box; the
     /// others crashed while running it earlier. Returns the verdict on the request.
     pub fn record_crash(
         &mut self,
-        now: Time,
+        now: EpochTime,
         fingerprint: Fingerprint,
-        ends: &[(Incarnation, Progress)],
+        crashes: &[(Incarnation, Progress)],
     ) -> Verdict {
-        if let Some((endpoint, _)) = ends.last() {
+        if let Some((endpoint, _)) = crashes.last() {
             self.record_exit(now, endpoint);
         }
-        let reported =
-            Case { ends: ends.iter().cloned().collect(), verdict: Verdict::Suspected, at: now };
+        let reported = Case {
+            crashes: crashes.iter().cloned().collect(),
+            verdict: Verdict::Suspected,
+            at: now,
+        };
         self.merge_case(fingerprint, &reported);
         self.queue_case(fingerprint);
         self.verdict(fingerprint).unwrap_or(Verdict::Suspected)
     }
 
     /// Records that an endpoint has exited, whether or not it ran a request.
-    pub fn record_exit(&mut self, now: Time, endpoint: &Incarnation) {
+    pub fn record_exit(&mut self, now: EpochTime, endpoint: &Incarnation) {
         self.remove_expired(now);
         if self.merge_exit(endpoint, now) {
             self.unsent
-                .push(QuarantineRecord::EndpointEnded { endpoint: endpoint.clone(), at: now });
+                .push(QuarantineRecord::EndpointExited { endpoint: endpoint.clone(), at: now });
         }
     }
 
     /// Clears a request that received a complete and successful response, or that an operator
     /// releases. Returns whether it was suspected or condemned.
-    pub fn clear(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
+    pub fn clear(&mut self, now: EpochTime, fingerprint: Fingerprint) -> bool {
         let Some(case) = self.cases.get(&fingerprint) else { return false };
         if case.verdict == Verdict::Cleared {
             return false;
@@ -235,18 +238,18 @@
         // Later than the verdict that it clears, even if the clock of the box that reported it is
         // ahead.
         let at = now.max(case.at + Duration::from_micros(1));
-        let cleared = Case { ends: BTreeMap::new(), verdict: Verdict::Cleared, at };
+        let cleared = Case { crashes: BTreeMap::new(), verdict: Verdict::Cleared, at };
         self.merge_case(fingerprint, &cleared);
         self.queue_case(fingerprint);
         true
     }
 
     /// Merges the records of other boxes and returns those that changed something here.
-    pub fn merge(&mut self, now: Time, records: &[QuarantineRecord]) -> Vec<QuarantineRecord> {
+    pub fn merge(&mut self, now: EpochTime, records: &[QuarantineRecord]) -> Vec<QuarantineRecord> {
         self.remove_expired(now);
         let unexpired = records.iter().filter(|record| record.is_valid(now));
         let changed = unexpired.filter(|record| match record {
-            QuarantineRecord::EndpointEnded { endpoint, at } => self.merge_exit(endpoint, *at),
+            QuarantineRecord::EndpointExited { endpoint, at } => self.merge_exit(endpoint, *at),
             QuarantineRecord::Case { fingerprint, case } => self.merge_case(*fingerprint, case),
         });
         changed.cloned().collect()
@@ -258,8 +261,8 @@
     }
 
     /// All records that have not expired, for a box that has none yet.
-    pub fn valid_records(&self, now: Time) -> Vec<QuarantineRecord> {
-        let exits = self.exits.iter().map(|(endpoint, at)| QuarantineRecord::EndpointEnded {
+    pub fn valid_records(&self, now: EpochTime) -> Vec<QuarantineRecord> {
+        let exits = self.exits.iter().map(|(endpoint, at)| QuarantineRecord::EndpointExited {
             endpoint: endpoint.clone(),
             at: *at,
         });
@@ -272,7 +275,7 @@
 
     /// Merges the time at which an endpoint exited. Returns whether that is new or earlier than
     /// recorded.
-    fn merge_exit(&mut self, endpoint: &Incarnation, at: Time) -> bool {
+    fn merge_exit(&mut self, endpoint: &Incarnation, at: EpochTime) -> bool {
         match self.exits.get_mut(endpoint) {
             Some(known) if *known <= at => false,
             Some(known) => {
@@ -304,8 +307,8 @@
         let counts = |(endpoint, progress): &(&Incarnation, &Progress)| {
             **progress == Progress::Reading && !self.has_common_cause(endpoint)
         };
-        let counting = case.ends.iter().filter(counts).count();
-        if counting >= COUNTED_CRASHES_TO_CONDEMN || case.ends.len() >= CRASHES_TO_CONDEMN {
+        let counting = case.crashes.iter().filter(counts).count();
+        if counting >= COUNTED_CRASHES_TO_CONDEMN || case.crashes.len() >= CRASHES_TO_CONDEMN {
             return Verdict::Condemned;
         }
         case.verdict
@@ -325,7 +328,7 @@
         }
     }
 
-    fn remove_expired(&mut self, now: Time) {
+    fn remove_expired(&mut self, now: EpochTime) {
         self.cases.retain(|_, case| case.is_valid(now));
         self.exits.retain(|_, at| is_exit_valid(now, *at));
     }
@@ -352,10 +355,10 @@
     if newer.verdict == Verdict::Cleared || older.verdict == Verdict::Cleared {
         return newer.clone();
     }
-    let mut ends = older.ends.clone();
-    for (endpoint, progress) in &newer.ends {
-        let known = ends.entry(endpoint.clone()).or_insert(*progress);
+    let mut crashes = older.crashes.clone();
+    for (endpoint, progress) in &newer.crashes {
+        let known = crashes.entry(endpoint.clone()).or_insert(*progress);
         *known = (*known).min(*progress);
     }
-    Case { ends, verdict: older.verdict.max(newer.verdict), at: newer.at }
+    Case { crashes, verdict: older.verdict.max(newer.verdict), at: newer.at }
 }
--- a/crates/vaneway-relay/src/event.rs
+++ b/crates/vaneway-relay/src/event.rs
@@ -32,7 +32,7 @@
         /// When one may be available again, if known.
         until: Option<Instant>,
     },
-    /// Reply to [`Action::Wake`]: its time has come.
+    /// Reply to [`Action::Wake`]: the requested time was reached.
     Woken,
     /// Reply to [`Action::Transfer`]: the transfer has ended.
     Transferred {
--- a/crates/vaneway-relay/src/relay.rs
+++ b/crates/vaneway-relay/src/relay.rs
@@ -41,8 +41,9 @@
 use crate::request_chart;
 
 /// Maximum number of consecutive attempts that reach an engine and yield no new token, so that
-/// engines that always break off can't hold a stream until its deadline. Attempts that reach no
-/// engine don't count: they cost nothing, and a replacement may start before the deadline.
+/// engines that always abort their responses can't keep a stream open until its deadline. Attempts
+/// that reach no engine don't count: they cost nothing, and a replacement may start before the
+/// deadline.
 const MAX_UNPRODUCTIVE_ATTEMPTS: u32 = 8;
 
 /// Maximum number of attempts of one request that never reach their endpoint.
@@ -530,8 +531,7 @@
         }
     }
 
-    /// Takes the running attempt, which this box aborts before its end: its endpoint may have run
-    /// it.
+    /// Takes the running attempt in order to abort it. Its endpoint may have run the request.
     fn abort_current(&mut self) -> Option<Current> {
         let current = self.current.take()?;
         self.may_have_run();
--- a/crates/vaneway-route/src/pool.rs
+++ b/crates/vaneway-route/src/pool.rs
@@ -40,7 +40,7 @@
     pub work: Option<&'a Work>,
     /// Hash by which to choose the endpoint instead of by cost. Set if an endpoint crashed while it
     /// ran the request: it isolates the request from those that ran beside it, so that they don't
-    /// meet again at the next endpoint.
+    /// run together at the next endpoint.
     pub isolation_hash: Option<u64>,
     /// Bound on the queue of the endpoint, if the time to the first event must be met.
     pub queue_limit: Option<QueueLimit>,
--- a/crates/vaneway-route/src/silence.rs
+++ b/crates/vaneway-route/src/silence.rs
@@ -17,7 +17,7 @@
 /// engines under load send a chunk of some response every few tens of milliseconds.
 pub const UNRESPONSIVE_THRESHOLD: Duration = Duration::from_millis(400);
 
-/// State of one availability zone from which responses are arriving.
+/// State of one availability zone in which responses are in progress.
 #[derive(Debug)]
 struct Zone<'a> {
     name: &'a str,
@@ -25,11 +25,11 @@
     is_responsive: bool,
 }
 
-/// State of the availability zones from which responses are arriving.
+/// State of the availability zones in which responses are in progress; other zones are omitted.
 #[derive(Debug)]
 pub(crate) struct UnresponsiveZones<'a>(Vec<Zone<'a>>);
 
-/// Whether all responses from an endpoint have stopped; none if there are no responses.
+/// Whether all responses from an endpoint have stopped; none if no responses are in progress.
 fn is_unresponsive(endpoint: &Endpoint, now: Instant) -> Option<bool> {
     endpoint.time_since_progress(now).map(|time| time >= UNRESPONSIVE_THRESHOLD)
 }
--- a/crates/vaneway-server/src/core/callers/api_error.rs
+++ b/crates/vaneway-server/src/core/callers/api_error.rs
@@ -24,8 +24,8 @@
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Delay before a retry that is returned to a caller refused because no endpoint is known to accept
-/// requests. The pause after an endpoint's failure is shorter than this, and endpoints send
-/// heartbeats about every second.
+/// requests. The suspension of an endpoint after its first failure is shorter than this, and
+/// endpoints send heartbeats about every second.
 const NO_ENDPOINT_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// An error returned to a caller.
@@ -84,8 +84,8 @@
             ),
             FailureKind::CrashesEndpoints => (
                 StatusCode::UNPROCESSABLE_ENTITY,
-                "endpoints crashed while running this request, so it is not run again; change it, or \
-                 ask an operator to release it",
+                "endpoints crashed while running this request, so it is not run again; change it, \
+                 or ask an operator to release it",
             ),
         };
         let is_final =
--- a/crates/vaneway-server/src/core/callers/routed.rs
+++ b/crates/vaneway-server/src/core/callers/routed.rs
@@ -2,8 +2,8 @@
 //!
 //! Data flow: host, path and key are taken from the head; the configuration in force at this box
 //! determines the route and the organisation; the body is read; the organisation's quota is
-//! charged; then the request is handled as a [`CallRequest`]. An earlier refusal returns an error
-//! with the information that the request was not run, and with a delay before a retry.
+//! charged; then the request is handled as a [`CallRequest`]. The error for a request that is
+//! refused before that says that the request was not run, and when to retry.
 
 use std::ops::Range;
 use std::rc::Rc;
--- a/crates/vaneway-server/src/core/calls/call.rs
+++ b/crates/vaneway-server/src/core/calls/call.rs
@@ -3,8 +3,8 @@
 //!
 //! A response in one piece is buffered until it is complete, up to a limit, so that a repeatable
 //! call survives an endpoint that crashes in the middle of its response. A longer response is
-//! forwarded as it arrives; if it breaks off, the caller gets a truncated body. Of an event stream
-//! each complete event is forwarded at once, so that another endpoint can continue after it.
+//! forwarded as it arrives; if it is interrupted, the caller gets a truncated body. Of an event
+//! stream each complete event is forwarded at once, so that another endpoint can continue after it.
 //!
 //! Data flow: [`call`] starts a task that drives a [`Relay`]: it waits for the next event
 //! (`Call::poll_event`), lets the relay decide, and carries out its actions. The caller's
@@ -412,8 +412,8 @@
         })
     }
 
-    /// The limit of the time until the first event, for a request that has not been sent to any
-    /// endpoint: one that has begun is continued in any case.
+    /// The bound on an endpoint's queue that lets the first event arrive in time. It applies only
+    /// until the request is sent to an endpoint: one that has begun is continued in any case.
     fn queue_limit(&self) -> Option<QueueLimit> {
         let request = &self.request;
         let WaitPolicy::IfExpectedBy { deadline } = self.limits.wait_policy else { return None };
@@ -436,12 +436,13 @@
         }
         let is_condemned = self.failure.is_some_and(|f| f.kind == FailureKind::CrashesEndpoints);
         let pending = match std::mem::replace(&mut self.reply.pending, PendingResponse::Empty) {
-            // That it crashes endpoints is more important than an earlier error response of one.
+            // The error of a condemned request takes precedence over an endpoint's own error
+            // response.
             PendingResponse::Failed(_) if is_condemned => PendingResponse::Empty,
             pending => pending,
         };
         match (self.failure, pending) {
-            // An endpoint's own error response takes precedence over the error of this box.
+            // Otherwise an endpoint's own error response takes precedence over that of this box.
             (_, PendingResponse::Failed(response))
             | (None, PendingResponse::Complete(response)) => {
                 self.reply.send(Ok(response));
--- a/crates/vaneway-server/src/core/calls/claims.rs
+++ b/crates/vaneway-server/src/core/calls/claims.rs
@@ -253,7 +253,7 @@
     log.generation = generation;
     log.end = 0;
     Line::new("snapshot").with("generation", generation).with("bytes", count).info();
-    // If the old log can't be removed, it is never read again.
+    // An old log that can't be removed does no harm, since it is never read again.
     if let Err(error) = std::fs::remove_file(&old) {
         log::warn!("event=old_log_stays file={} error={error:?}", old.display());
     }
@@ -288,7 +288,7 @@
                     let claim = Claim { key: key.clone(), digest, holder, at_ms };
                     let reply = self.propose(Command::Claim(claim)).await?;
                     if reply == Reply::Granted {
-                        self.shared.running_calls.update(|held| held + 1);
+                        self.shared.running_calls.update(|count| count + 1);
                     }
                     if reply != Reply::Running {
                         return Ok(reply);
@@ -320,7 +320,7 @@
             ClaimOutcome::NotRun => Command::Release { key, holder: self.holder },
         };
         let ended = self.propose(command).await;
-        self.shared.running_calls.update(|held| held - 1);
+        self.shared.running_calls.update(|count| count - 1);
         ended.map(|_applied| ())
     }
 
--- a/crates/vaneway-server/src/core/calls/events.rs
+++ b/crates/vaneway-server/src/core/calls/events.rs
@@ -1,8 +1,9 @@
 //! Splits the body of an event stream into complete events, byte for byte.
 //!
 //! This is not a parser of server-sent events: the caller must receive the endpoint's bytes
-//! unchanged, and only complete events may be forwarded, so that a stream that breaks off in the
-//! middle of an event can be resumed at another endpoint. Only the number of each event is parsed.
+//! unchanged, and only complete events may be forwarded, so that a stream that is interrupted in
+//! the middle of an event can be resumed at another endpoint. Only the number of each event is
+//! parsed.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -16,7 +17,7 @@
     pub bytes: Bytes,
 }
 
-/// Buffer of a stream's bytes that are not yet taken as events.
+/// Buffers the bytes of a stream that have not been returned as events yet.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
--- a/crates/vaneway-server/src/core/calls/keyed_call.rs
+++ b/crates/vaneway-server/src/core/calls/keyed_call.rs
@@ -166,7 +166,7 @@
     Complete(Vec<u8>),
     /// The body ended properly but is too long to be stored.
     TooLong,
-    /// The body broke off.
+    /// The body was truncated.
     Truncated,
 }
 
--- a/crates/vaneway-server/src/core/calls/open_requests.rs
+++ b/crates/vaneway-server/src/core/calls/open_requests.rs
@@ -42,7 +42,7 @@
     state: Cell<RequestState>,
     endpoint: Cell<Option<EndpointId>>,
     sent_tokens: Cell<u32>,
-    /// The request to its service, if it is forwarded as it is.
+    /// The request that is forwarded; unset for one handled by `model_call`.
     call: OnceCell<Rc<CallRequest>>,
     signals: RefCell<VecDeque<Event>>,
     waker: RefCell<Option<Waker>>,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Stores the request to its service.
+    /// Sets the request that is forwarded.
     pub fn set_call(&self, call: Rc<CallRequest>) {
         // Set once, when the request is inserted.
         let _first = self.call.set(call);
--- a/crates/vaneway-server/src/core/control/capacity.rs
+++ b/crates/vaneway-server/src/core/control/capacity.rs
@@ -194,7 +194,7 @@
     with_coverage(line, coverage)
         .with("demand", replicas(demand.replicas()))
         .with("binding", demand.binding())
-        .with("reading", replicas(demand.reading))
+        .with("reading", replicas(demand.prefill))
         .with("generating", replicas(demand.generating))
         .with("memory", replicas(demand.memory))
 }
--- a/crates/vaneway-server/src/core/endpoints/registered.rs
+++ b/crates/vaneway-server/src/core/endpoints/registered.rs
@@ -30,7 +30,7 @@
 /// most take to restart.
 const RESTART_BACKOFF: Duration = Duration::from_secs(10);
 
-/// Maximum queued requests for each one that an endpoint is running; more are not sent there.
+/// Maximum requests queued at an endpoint for each of its slots; no more are sent there.
 const MAX_QUEUED_PER_SLOT: u32 = 2;
 
 /// Time after its start during which an entry box may not know all endpoints yet.
--- a/crates/vaneway-server/src/core/endpoints/upstream.rs
+++ b/crates/vaneway-server/src/core/endpoints/upstream.rs
@@ -45,8 +45,8 @@
 /// lost SYN only after a second, and trying another endpoint is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time without a sign of life from the peer's host after which a connection on which data should
-/// arrive is closed: longer than the loss and retransmission of a packet take.
+/// Time without a reply from the peer's operating system after which a connection on which data
+/// should arrive is closed: longer than the loss and retransmission of a packet take.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Maximum idle connections kept for one endpoint.
@@ -391,13 +391,13 @@
         head_deadline,
     } = attempt;
     let sent = connections.send(&timers, addr, req, new_connection, head_deadline).await;
-    let answered = match sent {
-        Ok(answered) => answered,
+    let started = match sent {
+        Ok(started) => started,
         Err(SendError { outcome, cause, .. }) => {
             return (AttemptItem::Ended { outcome, cause }, Stage::Over);
         }
     };
-    let StartedResponse { response, mut attempt } = answered;
+    let StartedResponse { response, mut attempt } = started;
     let status = response.status();
     let limit = protocol::parse_limit(response.headers(), &LIMIT_HEADER);
     let leaving = protocol::has_flag(response.headers(), &LEAVING_HEADER);
--- a/crates/vaneway-server/src/core/entry.rs
+++ b/crates/vaneway-server/src/core/entry.rs
@@ -496,7 +496,7 @@
             "quarantine": self.quarantine.borrow().cases().iter().map(|(fingerprint, case)| json!({
                 "fingerprint": format!("{fingerprint:016x}"),
                 "verdict": case.verdict.name(),
-                "ended": case.ends.keys().collect::<Vec<_>>(),
+                "ended": case.crashes.keys().collect::<Vec<_>>(),
             })).collect::<Vec<_>>(),
             "box_number": self.box_number.get(),
             "registered": self.registered.borrow().len(),
--- a/crates/vaneway-server/src/core/operators.rs
+++ b/crates/vaneway-server/src/core/operators.rs
@@ -219,7 +219,7 @@
     let describe = |(fingerprint, case): (&Fingerprint, &Case)| v1::QuarantinedRequest {
         fingerprint: format!("{fingerprint:016x}"),
         verdict: case.verdict.name().to_owned(),
-        endpoints: case.ends.keys().map(ToString::to_string).collect(),
+        endpoints: case.crashes.keys().map(ToString::to_string).collect(),
     };
     quarantine.cases().iter().map(describe).collect()
 }
--- a/crates/vaneway-server/src/core/quarantine.rs
+++ b/crates/vaneway-server/src/core/quarantine.rs
@@ -130,26 +130,29 @@
     entry.update_pool(|pool, now, out| pool.record_exit(now, endpoint, out));
 }
 
-/// Records against a request that an endpoint crashed while running it: the last of `ends`; the
+/// Records against a request that an endpoint crashed while running it: the last of `crashes`; the
 /// others crashed while running it before.
 pub fn record_crash(
     entry: &Entry,
     request: &CallRequest,
-    ends: &[(Incarnation, Progress)],
+    crashes: &[(Incarnation, Progress)],
 ) -> Verdict {
     let fingerprint = fingerprint(request);
     let now = entry.cluster_time();
-    let verdict = entry.quarantine.borrow_mut().record_crash(now, fingerprint, ends);
+    let verdict = entry.quarantine.borrow_mut().record_crash(now, fingerprint, crashes);
     entry.metrics.quarantine.with_label_values(&[&request.service_name, verdict.name()]).inc();
     Line::new("endpoint_ended_under_request")
         .with("request", &request.id)
         .with("fingerprint", format!("{fingerprint:016x}"))
         .with("organisation", &request.organisation)
         .with("service", &request.service_name)
-        .with("replica", ends.last().map_or_else(String::new, |(endpoint, _)| endpoint.to_string()))
-        .with("progress", ends.last().map_or("", |(_, progress)| progress.name()))
+        .with(
+            "replica",
+            crashes.last().map_or_else(String::new, |(endpoint, _)| endpoint.to_string()),
+        )
+        .with("progress", crashes.last().map_or("", |(_, progress)| progress.name()))
         .with("verdict", verdict.name())
-        .with("ended_here", ends.len())
+        .with("ended_here", crashes.len())
         .with("ended_in_all", crash_count(entry, fingerprint))
         .warn();
     verdict
@@ -157,7 +160,7 @@
 
 fn crash_count(entry: &Entry, fingerprint: Fingerprint) -> usize {
     let quarantine = entry.quarantine.borrow();
-    quarantine.cases().get(&fingerprint).map_or(0, |case| case.ends.len())
+    quarantine.cases().get(&fingerprint).map_or(0, |case| case.crashes.len())
 }
 
 /// Clears a request that was answered completely and successfully, if anything was recorded against
@@ -168,14 +171,14 @@
     }
     let fingerprint = fingerprint(request);
     let now = entry.cluster_time();
-    let ends = crash_count(entry, fingerprint);
+    let crashes = crash_count(entry, fingerprint);
     if entry.quarantine.borrow_mut().clear(now, fingerprint) {
         let cleared = Verdict::Cleared.name();
         entry.metrics.quarantine.with_label_values(&[&request.service_name, cleared]).inc();
         Line::new("request_cleared")
             .with("request", &request.id)
             .with("fingerprint", format!("{fingerprint:016x}"))
-            .with("ended_in_all", ends)
+            .with("ended_in_all", crashes)
             .info();
     }
 }
@@ -230,10 +233,10 @@
     }
     let fingerprint = fingerprint(request);
     let quarantine = entry.quarantine.borrow();
-    let ends = quarantine.cases().get(&fingerprint).map_or(0, |case| case.ends.len());
+    let crashes = quarantine.cases().get(&fingerprint).map_or(0, |case| case.crashes.len());
     let message = format!(
-        "{ends} endpoints crashed while running this request, so it is not run again; change the \
-         request, or ask an operator to release {fingerprint:016x}"
+        "{crashes} endpoints crashed while running this request, so it is not run again; change \
+         the request, or ask an operator to release {fingerprint:016x}"
     );
     let code = FailureKind::CrashesEndpoints.code();
     Err(ApiError::rejected(StatusCode::UNPROCESSABLE_ENTITY, code, message))
@@ -246,7 +249,7 @@
     let updates = entry.quarantine.borrow_mut().merge(now, records);
     let changed = |record: &QuarantineRecord| match record {
         QuarantineRecord::Case { fingerprint, .. } => Some(*fingerprint),
-        QuarantineRecord::EndpointEnded { .. } => None,
+        QuarantineRecord::EndpointExited { .. } => None,
     };
     let is_condemned = |fingerprint: &Fingerprint| {
         entry.quarantine.borrow().verdict(*fingerprint) == Some(Verdict::Condemned)
@@ -263,9 +266,9 @@
             QuarantineRecord::Case { fingerprint, case } => Line::new("request_case_told")
                 .with("fingerprint", format!("{fingerprint:016x}"))
                 .with("verdict", case.verdict.name())
-                .with("ended", case.ends.len())
+                .with("ended", case.crashes.len())
                 .info(),
-            QuarantineRecord::EndpointEnded { endpoint, .. } => merge_exit(entry, &endpoint),
+            QuarantineRecord::EndpointExited { endpoint, .. } => merge_exit(entry, &endpoint),
         }
     }
 }
