--- a/crates/vaneway-route/src/pool.rs
+++ b/crates/vaneway-route/src/pool.rs
@@ -382,8 +382,8 @@
         Choice::Unavailable { until: first.and_then(Endpoint::available_from) }
     }
 
-    /// When the first back-off among a service's endpoints ends, if none accepts work before. None
-    /// if a suspension ends last at that endpoint: a suspension is only this box's estimate.
+    /// End of the back-off of the endpoint that becomes available first in a service. None if it has
+    /// no back-off, or if its suspension ends later: a suspension is only this box's estimate.
     pub fn backoff_until(&self, service: ServiceId) -> Option<Instant> {
         let first = self.first_available(service)?;
         first.backoff_until.filter(|backoff| Some(*backoff) >= first.suspended_until)
