--- a/crates/vaneway-server/src/core/quarantine.rs
+++ b/crates/vaneway-server/src/core/quarantine.rs
@@ -160,7 +160,7 @@
 
 fn crash_count(entry: &Entry, fingerprint: Fingerprint) -> usize {
     let quarantine = entry.quarantine.borrow();
-    quarantine.cases().get(&fingerprint).map_or(0, |case| case.ends.len())
+    quarantine.cases().get(&fingerprint).map_or(0, |case| case.crashes.len())
 }
 
 /// Clears a request that was answered completely and successfully, if anything was recorded against
@@ -233,7 +233,7 @@
     }
     let fingerprint = fingerprint(request);
     let quarantine = entry.quarantine.borrow();
-    let crashes = quarantine.cases().get(&fingerprint).map_or(0, |case| case.ends.len());
+    let crashes = quarantine.cases().get(&fingerprint).map_or(0, |case| case.crashes.len());
     let message = format!(
         "{crashes} endpoints crashed while running this request, so it is not run again; change \
          it, or ask an operator to release {fingerprint:016x}"
@@ -249,7 +249,7 @@
     let updates = entry.quarantine.borrow_mut().merge(now, records);
     let changed = |record: &QuarantineRecord| match record {
         QuarantineRecord::Case { fingerprint, .. } => Some(*fingerprint),
-        QuarantineRecord::EndpointEnded { .. } => None,
+        QuarantineRecord::EndpointExited { .. } => None,
     };
     let is_condemned = |fingerprint: &Fingerprint| {
         entry.quarantine.borrow().verdict(*fingerprint) == Some(Verdict::Condemned)
@@ -266,9 +266,9 @@
             QuarantineRecord::Case { fingerprint, case } => Line::new("request_case_told")
                 .with("fingerprint", format!("{fingerprint:016x}"))
                 .with("verdict", case.verdict.name())
-                .with("ended", case.ends.len())
+                .with("ended", case.crashes.len())
                 .info(),
-            QuarantineRecord::EndpointEnded { endpoint, .. } => merge_exit(entry, &endpoint),
+            QuarantineRecord::EndpointExited { endpoint, .. } => merge_exit(entry, &endpoint),
         }
     }
 }
