--- a/crates/vaneway-agreement/src/node.rs
+++ b/crates/vaneway-agreement/src/node.rs
@@ -1,16 +1,18 @@
-//! One node: its roles and their rules.
+//! One Raft node: its roles and their rules.
 //!
-//! Overview: [`Node::handle`] takes an event. A follower that hears from no leader asks for
-//! pre-votes; with a quorum of them it begins a term and asks for votes; with a quorum of those it
-//! leads, appends an entry of its own term, and sends every member what it misses. An entry is
-//! committed once a quorum has it durably and it is of the leader's own term.
+//! Overview: [`Node::handle`] takes an event. A follower that receives nothing from a leader
+//! requests pre-votes; with a quorum of them it starts a new term and requests votes; with a quorum
+//! of votes it becomes the leader, appends an entry of its own term, and sends every member the
+//! entries that it lacks. An entry is committed once it is durable at a quorum and is of the
+//! leader's own term or precedes such an entry.
 //!
 //! Durability: what a node promises (a vote, an accepted entry) is sent only after
-//! [`Event::Persisted`] has covered it, and a leader counts its own copy of an entry from then on.
+//! [`Event::Persisted`] has covered it, and a leader counts its own copy of an entry only from then
+//! on.
 //!
-//! Lease: an answered heartbeat proves that a quorum heard the leader after it was sent. No member
-//! of that quorum votes for another within [`Config::election`] of hearing it, so until then, less
-//! the clocks' drift, there is no other leader.
+//! Lease: a member that receives a heartbeat votes for no other candidate within
+//! [`Config::election_timeout`] of receiving it. So once a quorum has answered a heartbeat, there
+//! can be no other leader until that long after it was sent, less the clock drift.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,7 +28,7 @@
 use crate::Append;
 use crate::AppendReply;
 use crate::Config;
-use crate::Durable;
+use crate::DurableState;
 use crate::Entry;
 use crate::Event;
 use crate::Index;
@@ -38,106 +40,110 @@
 use crate::NodeId;
 use crate::Payload;
 use crate::Persist;
+use crate::ProposalId;
 use crate::Refusal;
 use crate::Role;
 use crate::Rule;
 use crate::Snapshot;
 use crate::Term;
-use crate::Ticket;
 
-/// Entries in one message at most.
-const ENTRIES_MOST: usize = 256;
+/// Maximum number of entries in a message.
+const MAX_ENTRIES_PER_MESSAGE: usize = 256;
 
-/// Bytes of commands in one message, beyond its first entry: what is not acknowledged is sent again
-/// with every heartbeat.
-const ENTRY_BYTES_MOST: usize = 256 << 10;
+/// Maximum size of the commands in a message in bytes, not counting its first entry. Limited
+/// because unacknowledged entries are sent again with every heartbeat.
+const MAX_ENTRY_BYTES_PER_MESSAGE: usize = 256 << 10;
 
-/// Time before a snapshot that was not acknowledged is sent again.
-const INSTALL_AGAIN: Duration = Duration::from_secs(1);
+/// Interval after which an unacknowledged snapshot is sent again.
+const SNAPSHOT_RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Entries that a learner may lack when it becomes a voter: what one message brings.
-const CAUGHT_UP_WITHIN: Index = ENTRIES_MOST as Index;
+/// Maximum number of entries that a learner may lack when it is promoted: as many as one message
+/// carries.
+const MAX_LEARNER_LAG: Index = MAX_ENTRIES_PER_MESSAGE as Index;
 
-/// Heartbeats whose sending time is remembered.
-const ROUNDS_MOST: usize = 64;
+/// Maximum number of heartbeat rounds whose sending time is kept.
+const MAX_TRACKED_ROUNDS: usize = 64;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Progress {
     next: Index,
     matched: Index,
-    /// When the latest answered heartbeat was sent.
-    heard: Option<Instant>,
-    /// When the leader first sent it something.
-    since: Instant,
+    /// When the latest heartbeat that was answered was sent.
+    last_acked_sent: Option<Instant>,
+    /// When the leader first sent anything to this member.
+    first_sent: Instant,
     /// When a snapshot was last sent.
-    installed: Option<Instant>,
+    snapshot_sent: Option<Instant>,
 }
 
 impl Progress {
-    /// Whether it lacks a snapshot, which stands for the entries up to `base` and was sent so lately that it may still arrive.
+    /// Whether the member needs a snapshot, which covers the entries up to `base`, and one was sent
+    /// so recently that it may still arrive.
     fn awaits_snapshot(&self, now: Instant, base: Index) -> bool {
-        self.next <= base && self.installed.is_some_and(|at| now < at + INSTALL_AGAIN)
+        self.next <= base
+            && self.snapshot_sent.is_some_and(|at| now < at + SNAPSHOT_RESEND_INTERVAL)
     }
 }
 
-/// A message that waits until something is durable.
+/// A message that is held back until something is durable.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Held {
+struct DeferredMessage {
     number: u64,
     to: NodeId,
     message: Message,
 }
 
-/// One member of the agreement.
+/// A member of the Raft group.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Node {
     config: Config,
-    /// Always none in production.
-    without: Option<Rule>,
+    /// Rule that a test disabled; always none in production.
+    disabled_rule: Option<Rule>,
     log: Log,
-    /// What stands for the entries that the log no longer has.
+    /// The latest snapshot, which covers the entries that the log no longer has.
     snapshot: Option<Snapshot>,
     term: Term,
     vote: Option<NodeId>,
     role: Role,
     leader: Option<NodeId>,
-    /// When a leader was last heard, or the node started: it may have answered one just before.
-    heard: Instant,
+    /// When a message of a leader last arrived. Initially the node's start, since it may have
+    /// answered a leader just before.
+    last_leader_contact: Instant,
     deadline: Instant,
-    votes: BTreeSet<NodeId>,
+    votes_received: BTreeSet<NodeId>,
     progress: BTreeMap<NodeId, Progress>,
     round: u64,
     rounds: VecDeque<(u64, Instant)>,
     commit: Index,
     persist_number: u64,
     persisted_number: u64,
-    /// Position up to which this node's own entries are durable.
+    /// Index up to which this node's own entries are durable.
     durable: Index,
-    /// Position that each [`Persist`] makes durable.
-    persisting: VecDeque<(u64, Index)>,
-    held: VecDeque<Held>,
-    jitter: u64,
+    /// Number of each pending [`Persist`], and the index up to which it makes entries durable.
+    pending_persists: VecDeque<(u64, Index)>,
+    deferred: VecDeque<DeferredMessage>,
+    jitter_seed: u64,
 }
 
 impl Node {
-    /// A node that starts at `now` with what is on its disk.
-    pub fn start(config: Config, durable: Durable, now: Instant) -> Self {
+    /// A node that starts at `now` with this persistent state.
+    pub fn start(config: Config, durable: DurableState, now: Instant) -> Self {
         let log = durable.log();
-        let Durable { term, vote, snapshot, .. } = durable;
+        let DurableState { term, vote, snapshot, .. } = durable;
         let durable = log.last_index();
         let commit = log.base_index();
         let mut node = Self {
-            without: None,
-            jitter: config.seed,
+            disabled_rule: None,
+            jitter_seed: config.seed,
             config,
             log,
             term,
             vote,
             role: Role::Follower,
             leader: None,
-            heard: now,
+            last_leader_contact: now,
             deadline: now,
-            votes: BTreeSet::new(),
+            votes_received: BTreeSet::new(),
             progress: BTreeMap::new(),
             round: 0,
             rounds: VecDeque::new(),
@@ -146,23 +152,23 @@
             persist_number: 0,
             persisted_number: 0,
             durable,
-            persisting: VecDeque::new(),
-            held: VecDeque::new(),
+            pending_persists: VecDeque::new(),
+            deferred: VecDeque::new(),
         };
-        node.wait_for_leader(now);
+        node.reset_election_deadline(now);
         node
     }
 
-    /// The same node with a rule off.
+    /// Disables a rule, for tests.
     #[doc(hidden)]
     #[must_use]
-    pub fn without(mut self, rule: Option<Rule>) -> Self {
-        self.without = rule;
+    pub fn with_rule_disabled(mut self, rule: Option<Rule>) -> Self {
+        self.disabled_rule = rule;
         self
     }
 
-    fn keeps(&self, rule: Rule) -> bool {
-        self.without != Some(rule)
+    fn enforces(&self, rule: Rule) -> bool {
+        self.disabled_rule != Some(rule)
     }
 
     /// The node's id.
@@ -175,94 +181,102 @@
         self.snapshot.as_ref()
     }
 
-    /// Its role.
+    /// The node's current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Its term.
+    /// The node's current term.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Who leads, as far as it knows.
+    /// The current leader, if known.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// Position up to which entries are committed.
+    /// The commit index.
     pub fn committed(&self) -> Index {
         self.commit
     }
 
-    /// Its log.
+    /// The node's log.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// Position up to which `id` has this leader's log.
+    /// Index up to which the log of `id` is known to match this leader's.
     pub fn matched(&self, id: NodeId) -> Index {
         self.progress.get(&id).map_or(0, |progress| progress.matched)
     }
 
-    /// Time since `id` last answered this leader, or since this leader first sent it something.
-    pub fn silence(&self, id: NodeId, now: Instant) -> Duration {
+    /// Time since `id` last answered this leader; if it has not answered, since this leader first
+    /// sent it anything.
+    pub fn time_since_reply(&self, id: NodeId, now: Instant) -> Duration {
         if id == self.config.id {
             return Duration::ZERO;
         }
-        let since = self.progress.get(&id).map(|p| p.heard.map_or(p.since, |h| h.max(p.since)));
+        let since = self
+            .progress
+            .get(&id)
+            .map(|p| p.last_acked_sent.map_or(p.first_sent, |h| h.max(p.first_sent)));
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
-    /// When it wants [`Event::Tick`].
+    /// When the node expects the next [`Event::Tick`].
     pub fn next_deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// Until when no other node can lead; none if this node has no lease.
+    /// The time until which no other node can become leader; none if this node has no lease.
     pub fn lease_until(&self) -> Option<Instant> {
         if self.role != Role::Leader {
             return None;
         }
         let voters = &self.log.members().voters;
-        let mut heard: Vec<Option<Instant>> = voters.iter().map(|id| self.heard_by(*id)).collect();
-        heard.sort_unstable();
-        // The latest time that more than half of the voters reach.
-        let quorum = heard.len() / 2 + 1;
-        let since = heard.len().checked_sub(quorum).and_then(|i| heard[i])?;
-        let kept = 1_000_u32.saturating_sub(2 * self.config.drift_per_mille);
-        Some(since + self.config.election * kept / 1_000)
-    }
-
-    /// When the latest heartbeat was sent that `id` answered; this node answers its own at once.
-    fn heard_by(&self, id: NodeId) -> Option<Instant> {
+        let mut acked: Vec<Option<Instant>> =
+            voters.iter().map(|id| self.last_acked_by(*id)).collect();
+        acked.sort_unstable();
+        // The latest sending time that a majority of the voters have answered.
+        let quorum = acked.len() / 2 + 1;
+        let since = acked.len().checked_sub(quorum).and_then(|i| acked[i])?;
+        let lease_per_mille = 1_000_u32.saturating_sub(2 * self.config.max_drift_per_mille);
+        Some(since + self.config.election_timeout * lease_per_mille / 1_000)
+    }
+
+    /// When the latest heartbeat that `id` answered was sent; this node answers its own
+    /// immediately.
+    fn last_acked_by(&self, id: NodeId) -> Option<Instant> {
         if id == self.config.id {
             return self.rounds.back().map(|(_, at)| *at);
         }
-        self.progress.get(&id).and_then(|progress| progress.heard)
+        self.progress.get(&id).and_then(|progress| progress.last_acked_sent)
     }
 
-    /// Whether `id` answered lately, or has not had the time to.
-    fn is_live(&self, id: NodeId, since: Option<Instant>) -> bool {
+    /// Whether `id` answered a heartbeat that was sent at `since` or later, or was first sent
+    /// anything at or after that time, so that it may not have had the time to answer. Always true
+    /// without `since`.
+    fn is_responsive(&self, id: NodeId, since: Option<Instant>) -> bool {
         let Some(since) = since else { return true };
-        let begun = self.progress.get(&id).map(|progress| progress.since);
-        self.heard_by(id).max(begun).is_some_and(|heard| heard >= since)
+        let first_sent = self.progress.get(&id).map(|progress| progress.first_sent);
+        self.last_acked_by(id).max(first_sent).is_some_and(|acked| acked >= since)
     }
 
-    /// Applies an event; what to do is appended to `out`.
+    /// Handles an event and appends the actions to carry out to `out`.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick if now >= self.deadline => self.tick(now, out),
             Event::Tick => {}
-            Event::Message { from, message } => self.message(now, from, message, out),
-            Event::Persisted { number } => self.persisted(now, number, out),
-            Event::Propose { ticket, command } => {
-                self.propose(now, ticket, Payload::Command(command), out);
+            Event::Message { from, message } => self.handle_message(now, from, message, out),
+            Event::Persisted { number } => self.handle_persisted(now, number, out),
+            Event::Propose { proposal_id, command } => {
+                self.propose(now, proposal_id, Payload::Command(command), out);
             }
             Event::Compact { index, data } => self.compact(index, data, out),
-            Event::Change { ticket, change } => match self.changed(change) {
-                Ok(members) => self.propose(now, ticket, Payload::Members(members), out),
-                Err(refusal) => out.push(Action::Refused { ticket, refusal }),
+            Event::ChangeMembers { proposal_id, change } => match self.members_after(change) {
+                Ok(members) => self.propose(now, proposal_id, Payload::Members(members), out),
+                Err(refusal) => out.push(Action::Refused { proposal_id, refusal }),
             },
         }
     }
@@ -270,25 +284,25 @@
     fn tick(&mut self, now: Instant, out: &mut Vec<Action>) {
         if self.role == Role::Leader {
             let members = self.log.members();
-            let since = now.checked_sub(self.config.election * 2);
-            if members.is_quorum(|id| self.is_live(id, since)) {
+            let since = now.checked_sub(self.config.election_timeout * 2);
+            if members.is_quorum(|id| self.is_responsive(id, since)) {
                 self.heartbeat(now, out);
             } else {
-                self.follow(now, self.term, None, out);
+                self.become_follower(now, self.term, None, out);
             }
             return;
         }
-        self.wait_for_leader(now);
+        self.reset_election_deadline(now);
         if self.log.members().voters.contains(&self.config.id) {
-            self.seek_pre_votes(now, out);
+            self.request_pre_votes(now, out);
         }
     }
 
-    /// Sets the time at which this node seeks to be elected.
-    fn wait_for_leader(&mut self, now: Instant) {
-        self.jitter = self.jitter.wrapping_add(1);
-        let mut rng = Pcg64Mcg::seed_from_u64(self.jitter);
-        let shortest = self.config.election.as_micros() as u64;
+    /// Sets a new random election deadline.
+    fn reset_election_deadline(&mut self, now: Instant) {
+        self.jitter_seed = self.jitter_seed.wrapping_add(1);
+        let mut rng = Pcg64Mcg::seed_from_u64(self.jitter_seed);
+        let shortest = self.config.election_timeout.as_micros() as u64;
         let wait = rng.random_range(shortest..shortest * 2);
         self.deadline = now + Duration::from_micros(wait);
     }
@@ -302,10 +316,10 @@
         voters.filter(|id| *id != self.config.id).collect()
     }
 
-    fn seek_pre_votes(&mut self, now: Instant, out: &mut Vec<Action>) {
+    fn request_pre_votes(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.set_role(Role::PreCandidate, out);
         self.leader = None;
-        self.votes = BTreeSet::from([self.config.id]);
+        self.votes_received = BTreeSet::from([self.config.id]);
         let message = Message::PreVote {
             term: self.term + 1,
             last_term: self.log.last_term(),
@@ -317,12 +331,12 @@
         self.count_votes(now, out);
     }
 
-    fn seek_votes(&mut self, now: Instant, out: &mut Vec<Action>) {
+    fn start_election(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.term += 1;
         self.vote = Some(self.config.id);
-        self.votes.clear();
+        self.votes_received.clear();
         self.set_role(Role::Candidate, out);
-        self.wait_for_leader(now);
+        self.reset_election_deadline(now);
         let number = self.persist(Vec::new(), out);
         let message = Message::Vote {
             term: self.term,
@@ -335,17 +349,17 @@
     }
 
     fn count_votes(&mut self, now: Instant, out: &mut Vec<Action>) {
-        if !self.log.members().is_quorum(|id| self.votes.contains(&id)) {
+        if !self.log.members().is_quorum(|id| self.votes_received.contains(&id)) {
             return;
         }
         match self.role {
-            Role::PreCandidate => self.seek_votes(now, out),
-            Role::Candidate => self.lead(now, out),
+            Role::PreCandidate => self.start_election(now, out),
+            Role::Candidate => self.become_leader(now, out),
             Role::Follower | Role::Leader => {}
         }
     }
 
-    fn lead(&mut self, now: Instant, out: &mut Vec<Action>) {
+    fn become_leader(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.set_role(Role::Leader, out);
         self.leader = Some(self.config.id);
         self.rounds.clear();
@@ -353,7 +367,7 @@
         self.append(now, Payload::Noop, out);
     }
 
-    /// Appends an entry to the leader's own log and sends it to all.
+    /// Appends an entry to the leader's own log and sends it to the other members.
     fn append(&mut self, now: Instant, payload: Payload, out: &mut Vec<Action>) -> Index {
         let entry = self.log.push(self.term, payload);
         let index = entry.index;
@@ -365,10 +379,10 @@
     fn heartbeat(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.round += 1;
         self.rounds.push_back((self.round, now));
-        if self.rounds.len() > ROUNDS_MOST {
+        if self.rounds.len() > MAX_TRACKED_ROUNDS {
             self.rounds.pop_front();
         }
-        self.deadline = now + self.config.heartbeat;
+        self.deadline = now + self.config.heartbeat_interval;
         let others = self.others();
         self.progress.retain(|id, _| others.contains(id));
         for to in others {
@@ -378,26 +392,31 @@
 
     fn send_entries(&mut self, now: Instant, to: NodeId, out: &mut Vec<Action>) {
         let last = self.log.last_index();
-        let fresh =
-            Progress { next: last.max(1), matched: 0, heard: None, since: now, installed: None };
+        let initial = Progress {
+            next: last.max(1),
+            matched: 0,
+            last_acked_sent: None,
+            first_sent: now,
+            snapshot_sent: None,
+        };
         let base = self.log.base_index();
-        let progress = self.progress.entry(to).or_insert(fresh);
+        let progress = self.progress.entry(to).or_insert(initial);
         let lacks_snapshot = progress.next <= base;
         if lacks_snapshot
             && !progress.awaits_snapshot(now, base)
             && let Some(snapshot) = self.snapshot.clone()
         {
-            progress.installed = Some(now);
+            progress.snapshot_sent = Some(now);
             let install = Install { term: self.term, snapshot, round: self.round };
             out.push(Action::Send { to, message: Message::Install(install) });
             return;
         }
         let next = progress.next.max(base + 1);
-        // A heartbeat only, until the snapshot has arrived.
+        // Only a heartbeat until the snapshot has been installed.
         let entries = if lacks_snapshot {
             Vec::new()
         } else {
-            self.log.from(next, ENTRIES_MOST, ENTRY_BYTES_MOST).to_vec()
+            self.log.batch_from(next, MAX_ENTRIES_PER_MESSAGE, MAX_ENTRY_BYTES_PER_MESSAGE).to_vec()
         };
         let message = Message::Append(Append {
             term: self.term,
@@ -415,7 +434,13 @@
         out.push(Action::RoleChanged { role, term: self.term });
     }
 
-    fn follow(&mut self, now: Instant, term: Term, leader: Option<NodeId>, out: &mut Vec<Action>) {
+    fn become_follower(
+        &mut self,
+        now: Instant,
+        term: Term,
+        leader: Option<NodeId>,
+        out: &mut Vec<Action>,
+    ) {
         if term > self.term {
             self.term = term;
             self.vote = None;
@@ -424,11 +449,12 @@
         self.leader = leader;
         if self.role != Role::Follower {
             self.set_role(Role::Follower, out);
-            self.wait_for_leader(now);
+            self.reset_election_deadline(now);
         }
     }
 
-    /// Asks for what the node promises to be made durable; returns the request's number.
+    /// Requests that the term, the vote and `entries` are made durable; returns the number of the
+    /// request.
     fn persist(&mut self, entries: Vec<Entry>, out: &mut Vec<Action>) -> u64 {
         self.persist_with(None, entries, out)
     }
@@ -442,43 +468,44 @@
         self.persist_number += 1;
         let number = self.persist_number;
         if let Some(first) = entries.first() {
-            // What is replaced is not durable any more.
+            // Replaced entries are no longer durable.
             self.durable = self.durable.min(first.index - 1);
-            for persisting in &mut self.persisting {
+            for persisting in &mut self.pending_persists {
                 persisting.1 = persisting.1.min(first.index - 1);
             }
         }
-        let installed = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-        let durable = entries.last().map_or(installed, |last| last.index);
-        self.persisting.push_back((number, durable));
+        let snapshot_index = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+        let durable = entries.last().map_or(snapshot_index, |last| last.index);
+        self.pending_persists.push_back((number, durable));
         let (term, vote) = (self.term, self.vote);
         out.push(Action::Persist(Persist { number, term, vote, snapshot, entries }));
         number
     }
 
-    /// Sends a message once the request with `number` is durable.
+    /// Sends a message once the persist request `number` is durable.
     fn send_after(&mut self, number: u64, to: NodeId, message: Message, out: &mut Vec<Action>) {
-        if number <= self.persisted_number || !self.keeps(Rule::PersistBeforeReply) {
+        if number <= self.persisted_number || !self.enforces(Rule::PersistBeforeReply) {
             out.push(Action::Send { to, message });
         } else {
-            self.held.push_back(Held { number, to, message });
+            self.deferred.push_back(DeferredMessage { number, to, message });
         }
     }
 
-    fn persisted(&mut self, now: Instant, number: u64, out: &mut Vec<Action>) {
+    fn handle_persisted(&mut self, now: Instant, number: u64, out: &mut Vec<Action>) {
         self.persisted_number = self.persisted_number.max(number);
-        while let Some((_, index)) = self.persisting.pop_front_if(|(n, _)| *n <= number) {
+        while let Some((_, index)) = self.pending_persists.pop_front_if(|(n, _)| *n <= number) {
             self.durable = self.durable.max(index);
         }
-        while let Some(held) = self.held.pop_front_if(|held| held.number <= number) {
-            // A promise of an earlier term is void.
-            if held.message.term() == self.term {
-                out.push(Action::Send { to: held.to, message: held.message });
+        while let Some(deferred) = self.deferred.pop_front_if(|deferred| deferred.number <= number)
+        {
+            // Promises of earlier terms are void.
+            if deferred.message.term() == self.term {
+                out.push(Action::Send { to: deferred.to, message: deferred.message });
             }
         }
         match self.role {
             Role::Candidate if self.persisted_number == self.persist_number => {
-                self.votes.insert(self.config.id);
+                self.votes_received.insert(self.config.id);
                 self.count_votes(now, out);
             }
             Role::Leader => self.advance_commit(now, out),
@@ -486,52 +513,59 @@
         }
     }
 
-    fn message(&mut self, now: Instant, from: NodeId, message: Message, out: &mut Vec<Action>) {
+    fn handle_message(
+        &mut self,
+        now: Instant,
+        from: NodeId,
+        message: Message,
+        out: &mut Vec<Action>,
+    ) {
         match message {
             Message::PreVote { term, last_term, last_index } => {
                 let granted = term > self.term
-                    && !self.hears_a_leader(now)
-                    && self.is_covered_by(last_term, last_index);
+                    && !self.has_recent_leader(now)
+                    && self.is_candidate_up_to_date(last_term, last_index);
                 let term = if granted { term } else { self.term };
                 let message = Message::PreVoteReply { term, granted };
                 out.push(Action::Send { to: from, message });
             }
             Message::PreVoteReply { term, granted } => {
                 if granted && self.role == Role::PreCandidate && term == self.term + 1 {
-                    self.votes.insert(from);
+                    self.votes_received.insert(from);
                     self.count_votes(now, out);
                 } else if term > self.term {
-                    self.follow(now, term, None, out);
+                    self.become_follower(now, term, None, out);
                 }
             }
             Message::Vote { term, last_term, last_index } => {
-                self.asked_for_vote(now, from, term, (last_term, last_index), out);
+                self.handle_vote_request(now, from, term, (last_term, last_index), out);
             }
             Message::VoteReply { term, granted } => {
                 if term > self.term {
-                    self.follow(now, term, None, out);
+                    self.become_follower(now, term, None, out);
                 } else if granted && term == self.term && self.role == Role::Candidate {
-                    self.votes.insert(from);
+                    self.votes_received.insert(from);
                     self.count_votes(now, out);
                 }
             }
-            Message::Append(append) => self.appended(now, from, append, out),
-            Message::AppendReply(reply) => self.append_replied(now, from, reply, out),
-            Message::Install(install) => self.installed(now, from, install, out),
+            Message::Append(append) => self.handle_append(now, from, append, out),
+            Message::AppendReply(reply) => self.handle_append_reply(now, from, reply, out),
+            Message::Install(install) => self.handle_install(now, from, install, out),
         }
     }
 
-    /// Whether a leader was heard so lately that it may hold a lease.
-    fn hears_a_leader(&self, now: Instant) -> bool {
-        self.role == Role::Leader || now < self.heard + self.config.election
+    /// Whether a leader's message arrived so recently that the leader may hold a lease.
+    fn has_recent_leader(&self, now: Instant) -> bool {
+        self.role == Role::Leader || now < self.last_leader_contact + self.config.election_timeout
     }
 
-    /// Whether a candidate's log has at least what this one has.
-    fn is_covered_by(&self, last_term: Term, last_index: Index) -> bool {
-        !self.keeps(Rule::VoteChecksLog) || self.log.is_covered_by(last_term, last_index)
+    /// Whether a candidate's log is at least as up-to-date as this one.
+    fn is_candidate_up_to_date(&self, last_term: Term, last_index: Index) -> bool {
+        !self.enforces(Rule::VoteChecksLog)
+            || self.log.is_candidate_up_to_date(last_term, last_index)
     }
 
-    fn asked_for_vote(
+    fn handle_vote_request(
         &mut self,
         now: Instant,
         from: NodeId,
@@ -539,29 +573,30 @@
         (last_term, last_index): (Term, Index),
         out: &mut Vec<Action>,
     ) {
-        if term > self.term && self.hears_a_leader(now) {
-            // The lease of the leader that was heard forbids even to learn of the term.
+        if term > self.term && self.has_recent_leader(now) {
+            // The lease of the known leader also forbids adopting the candidate's term.
             return;
         }
         if term > self.term {
-            self.follow(now, term, None, out);
+            self.become_follower(now, term, None, out);
         }
-        let free = self.vote.is_none_or(|vote| vote == from) || !self.keeps(Rule::OneVoteATerm);
-        let covered = self.is_covered_by(last_term, last_index);
-        let granted = term == self.term && free && covered && self.role == Role::Follower;
+        let free =
+            self.vote.is_none_or(|vote| vote == from) || !self.enforces(Rule::OneVotePerTerm);
+        let is_up_to_date = self.is_candidate_up_to_date(last_term, last_index);
+        let granted = term == self.term && free && is_up_to_date && self.role == Role::Follower;
         let mut number = self.persist_number;
         if granted && self.vote != Some(from) {
             self.vote = Some(from);
             number = self.persist(Vec::new(), out);
         }
         if granted {
-            self.wait_for_leader(now);
+            self.reset_election_deadline(now);
         }
         let message = Message::VoteReply { term: self.term, granted };
         self.send_after(number, from, message, out);
     }
 
-    fn appended(&mut self, now: Instant, from: NodeId, append: Append, out: &mut Vec<Action>) {
+    fn handle_append(&mut self, now: Instant, from: NodeId, append: Append, out: &mut Vec<Action>) {
         let Append { term, prev_index, prev_term, entries, commit, round } = append;
         if term < self.term {
             let last_index = self.log.last_index();
@@ -574,16 +609,16 @@
             self.send_after(self.persist_number, from, message, out);
             return;
         }
-        self.follow(now, term, Some(from), out);
-        self.heard = now;
-        self.wait_for_leader(now);
+        self.become_follower(now, term, Some(from), out);
+        self.last_leader_contact = now;
+        self.reset_election_deadline(now);
         let base = self.log.base_index();
-        // What this node's snapshot stands for is committed, so the leader has the same.
-        let fits = prev_index < base
+        // Entries covered by this node's snapshot are committed, so the leader has the same ones.
+        let prev_matches = prev_index < base
             || self.log.term_at(prev_index) == Some(prev_term)
-            || (!self.keeps(Rule::AppendChecksPrevious) && prev_index <= self.log.last_index());
+            || (!self.enforces(Rule::AppendChecksPrevious) && prev_index <= self.log.last_index());
         let mut matched = None;
-        if fits {
+        if prev_matches {
             let end = prev_index + entries.len() as Index;
             let new = self.log.merge(&entries);
             if !new.is_empty() {
@@ -597,16 +632,22 @@
         self.send_after(self.persist_number, from, message, out);
     }
 
-    /// Takes a leader's snapshot, unless this node has committed as much.
-    fn installed(&mut self, now: Instant, from: NodeId, install: Install, out: &mut Vec<Action>) {
+    /// Handles a leader's snapshot; installs it unless this node has committed as much.
+    fn handle_install(
+        &mut self,
+        now: Instant,
+        from: NodeId,
+        install: Install,
+        out: &mut Vec<Action>,
+    ) {
         let Install { term, snapshot, round } = install;
         let mut matched = None;
         if term >= self.term {
-            self.follow(now, term, Some(from), out);
-            self.heard = now;
-            self.wait_for_leader(now);
+            self.become_follower(now, term, Some(from), out);
+            self.last_leader_contact = now;
+            self.reset_election_deadline(now);
             matched = Some(snapshot.index);
-            if snapshot.index > self.commit || !self.keeps(Rule::InstallChecksCommit) {
+            if snapshot.index > self.commit || !self.enforces(Rule::InstallChecksCommit) {
                 self.restore(snapshot, out);
             }
         }
@@ -619,17 +660,17 @@
         self.log.install(&snapshot);
         self.commit = snapshot.index;
         self.snapshot = Some(snapshot.clone());
-        // Entries that did not follow from it are gone.
+        // Entries that did not continue the snapshot are gone.
         let last = self.log.last_index();
         self.durable = self.durable.min(last);
-        for persisting in &mut self.persisting {
+        for persisting in &mut self.pending_persists {
             persisting.1 = persisting.1.min(last);
         }
         self.persist_with(Some(snapshot.clone()), Vec::new(), out);
         out.push(Action::Restore { snapshot });
     }
 
-    /// Drops committed entries for which the owner has its state.
+    /// Replaces committed entries by a snapshot of the owner's state.
     fn compact(&mut self, index: Index, data: Vec<u8>, out: &mut Vec<Action>) {
         if index <= self.log.base_index() || index > self.commit {
             return;
@@ -639,7 +680,7 @@
         self.persist_with(Some(snapshot), Vec::new(), out);
     }
 
-    fn append_replied(
+    fn handle_append_reply(
         &mut self,
         now: Instant,
         from: NodeId,
@@ -648,7 +689,7 @@
     ) {
         let AppendReply { term, matched, last_index, round } = reply;
         if term > self.term {
-            self.follow(now, term, None, out);
+            self.become_follower(now, term, None, out);
             return;
         }
         if self.role != Role::Leader || term < self.term {
@@ -658,7 +699,7 @@
         let (base, last) = (self.log.base_index(), self.log.last_index());
         let Some(progress) = self.progress.get_mut(&from) else { return };
         if let Some(sent) = sent {
-            progress.heard = progress.heard.max(Some(sent));
+            progress.last_acked_sent = progress.last_acked_sent.max(Some(sent));
         }
         match matched {
             Some(matched) if matched > progress.matched => {
@@ -671,18 +712,18 @@
                 progress.next = back.max(progress.matched + 1);
             }
         }
-        // Whoever waits for a snapshot would refuse whatever else it is sent, at once and again.
+        // A member that waits for a snapshot rejects entries at once, which would repeat in a loop.
         if progress.next <= last && !progress.awaits_snapshot(now, base) {
             self.send_entries(now, from, out);
         }
         self.advance_commit(now, out);
     }
 
-    /// Commits what a quorum has durably.
+    /// Commits entries that are durable at a quorum.
     fn advance_commit(&mut self, now: Instant, out: &mut Vec<Action>) {
         let has = |id: NodeId, index: Index| {
             let matched = self.progress.get(&id).map_or(0, |progress| progress.matched);
-            let own = if self.keeps(Rule::PersistBeforeReply) {
+            let own = if self.enforces(Rule::PersistBeforeReply) {
                 self.durable
             } else {
                 self.log.last_index()
@@ -695,15 +736,15 @@
             index -= 1;
         }
         let own_term = self.log.term_at(index) == Some(self.term);
-        if index <= self.commit || (self.keeps(Rule::CommitOwnTermOnly) && !own_term) {
+        if index <= self.commit || (self.enforces(Rule::CommitOwnTermOnly) && !own_term) {
             return;
         }
         self.commit_to(index, out);
         if self.log.members().all().all(|id| id != self.config.id) {
-            // Its own removal is committed.
-            self.follow(now, self.term, None, out);
+            // This node's own removal is committed.
+            self.become_follower(now, self.term, None, out);
         } else {
-            // The followers learn of it at once and not with the next heartbeat.
+            // Followers learn of the commit now, not with the next heartbeat.
             self.heartbeat(now, out);
         }
     }
@@ -716,18 +757,24 @@
         }
     }
 
-    fn propose(&mut self, now: Instant, ticket: Ticket, payload: Payload, out: &mut Vec<Action>) {
+    fn propose(
+        &mut self,
+        now: Instant,
+        proposal_id: ProposalId,
+        payload: Payload,
+        out: &mut Vec<Action>,
+    ) {
         if self.role != Role::Leader {
             let refusal = Refusal::NotLeader { leader: self.leader };
-            out.push(Action::Refused { ticket, refusal });
+            out.push(Action::Refused { proposal_id, refusal });
             return;
         }
         let index = self.append(now, payload, out);
-        out.push(Action::Proposed { ticket, term: self.term, index });
+        out.push(Action::Proposed { proposal_id, term: self.term, index });
     }
 
     /// The members after a change.
-    fn changed(&self, change: MemberChange) -> Result<Members, Refusal> {
+    fn members_after(&self, change: MemberChange) -> Result<Members, Refusal> {
         if self.role != Role::Leader {
             return Err(Refusal::NotLeader { leader: self.leader });
         }
@@ -744,7 +791,7 @@
             MemberChange::Promote(id) => {
                 let matched = self.progress.get(&id).map_or(0, |progress| progress.matched);
                 if members.learners.contains(&id)
-                    && matched + CAUGHT_UP_WITHIN < self.log.last_index()
+                    && matched + MAX_LEARNER_LAG < self.log.last_index()
                 {
                     return Err(Refusal::NotCaughtUp);
                 }
--- a/crates/vaneway-limit/src/named.rs
+++ b/crates/vaneway-limit/src/named.rs
@@ -1,4 +1,4 @@
-//! What endpoints have named, as one box knows it.
+//! The limits that endpoints advertised, as known to one box.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -6,140 +6,144 @@
 
 use serde::Deserialize;
 use serde::Serialize;
-use vaneway_registry::Born;
 use vaneway_registry::InstanceId;
+use vaneway_registry::StartMillis;
 
 use crate::Rate;
 
-/// Time since 1970 by the cluster's clock.
-pub type Time = Duration;
+/// Time since the Unix epoch by the cluster's clock.
+pub type EpochTime = Duration;
 
-/// How long what an endpoint named is kept that is not known, or whose limit has ended: longer than a message is late.
-const KEPT: Duration = Duration::from_mins(1);
+/// How long a limit is retained that was lifted, or whose endpoint is not in use: longer than
+/// messages between boxes are delayed, so that a delayed one does not restore it.
+const LIMIT_RETENTION: Duration = Duration::from_mins(1);
 
-/// What an endpoint named last.
+/// The limit that an endpoint advertised last.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Named {
-    /// The incarnation that named it.
-    pub born: Born,
-    /// What it takes.
+pub struct AdvertisedLimit {
+    /// Start time of the incarnation that advertised it; 0 if unknown.
+    pub born: StartMillis,
+    /// The rate that it accepts from all entry boxes together.
     pub rate: Rate,
-    /// Whether its answers name no limit any more.
-    pub ended: bool,
-    /// When a box first saw this in an answer.
-    pub at: Time,
+    /// Whether its responses no longer advertise a limit.
+    pub lifted: bool,
+    /// When a box first saw this limit, or the end of it, in a response.
+    pub seen_at: EpochTime,
 }
 
-impl Named {
-    /// Whether it is of the incarnation `born`, as far as is known.
-    pub fn is_of(&self, born: Born) -> bool {
+impl AdvertisedLimit {
+    /// Whether the incarnation `born` advertised it. An unknown incarnation, 0, matches any.
+    pub fn matches_incarnation(&self, born: StartMillis) -> bool {
         self.born == born || self.born == 0 || born == 0
     }
 
-    /// Whether both say the same, whenever it was seen.
-    fn says_the_same(&self, other: &Self) -> bool {
-        (self.born, self.rate, self.ended) == (other.born, other.rate, other.ended)
+    /// Whether both are equal but for `seen_at`.
+    fn is_same_limit(&self, other: &Self) -> bool {
+        (self.born, self.rate, self.lifted) == (other.born, other.rate, other.lifted)
     }
 }
 
-/// What boxes tell each other.
+/// An endpoint's limit, as boxes send it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamedLimit {
+pub struct EndpointLimit {
     /// The endpoint.
     pub endpoint: InstanceId,
-    /// What it named.
-    pub named: Named,
+    /// Its limit.
+    pub limit: AdvertisedLimit,
 }
 
-/// What one box knows of the limits that endpoints name.
+/// All limits that one box knows of.
 ///
-/// Of two words of an endpoint the one of the later incarnation counts, then the one that was seen later, so they may be
-/// lost, repeated and reordered.
+/// Of two limits of an endpoint, the one from the later incarnation takes precedence, then the one
+/// that was seen later. Updates may therefore be lost, duplicated and reordered.
 #[derive(Debug, Clone, Default)]
-pub struct NamedLimits {
-    by_endpoint: BTreeMap<InstanceId, Named>,
-    /// Endpoints of which others have to hear.
-    news: BTreeSet<InstanceId>,
+pub struct EndpointLimits {
+    by_endpoint: BTreeMap<InstanceId, AdvertisedLimit>,
+    /// Endpoints whose limits have changed since the last [`EndpointLimits::take_updates`].
+    changed: BTreeSet<InstanceId>,
 }
 
-impl NamedLimits {
-    /// Whether no endpoint is known to have named a limit, so that there is none to end.
+impl EndpointLimits {
+    /// Whether no limits are known, so that a response without one has nothing to lift.
     pub fn is_empty(&self) -> bool {
         self.by_endpoint.is_empty()
     }
 
-    /// What an endpoint named last, if it ever named a limit.
-    pub fn get(&self, endpoint: &str) -> Option<&Named> {
+    /// The limit that an endpoint advertised last, if any; it may have been lifted since.
+    pub fn get(&self, endpoint: &str) -> Option<&AdvertisedLimit> {
         self.by_endpoint.get(endpoint)
     }
 
-    /// Learns what an answer of an endpoint's incarnation `born` names; returns it if that is news here.
-    pub fn answered(
+    /// Records the limit that a response from an endpoint's incarnation `born` advertises; `rate`
+    /// is none if it advertises none. Returns the new limit if it differs from the known one.
+    pub fn record_response(
         &mut self,
-        now: Time,
+        now: EpochTime,
         endpoint: &str,
-        born: Born,
+        born: StartMillis,
         rate: Option<Rate>,
-    ) -> Option<Named> {
-        let known = self.by_endpoint.get(endpoint).filter(|known| known.is_of(born)).copied();
+    ) -> Option<AdvertisedLimit> {
+        let known =
+            self.by_endpoint.get(endpoint).filter(|known| known.matches_incarnation(born)).copied();
         let born = known.map_or(born, |known| known.born.max(born));
-        // Newer than what was told before, also where the clock of whoever told it is ahead.
-        let at = known.map_or(now, |known| now.max(known.at + Duration::from_micros(1)));
-        let named = match (rate, known) {
-            (Some(rate), _) => Named { born, rate, ended: false, at },
-            (None, Some(known)) => Named { born, ended: true, at, ..known },
+        // Later than the known one, even if that was seen by a box whose clock is ahead.
+        let seen_at = known.map_or(now, |known| now.max(known.seen_at + Duration::from_micros(1)));
+        let limit = match (rate, known) {
+            (Some(rate), _) => AdvertisedLimit { born, rate, lifted: false, seen_at },
+            (None, Some(known)) => AdvertisedLimit { born, lifted: true, seen_at, ..known },
             (None, None) => return None,
         };
-        if known.is_some_and(|known| known.says_the_same(&named)) {
+        if known.is_some_and(|known| known.is_same_limit(&limit)) {
             return None;
         }
-        self.by_endpoint.insert(endpoint.to_owned(), named);
-        self.news.insert(endpoint.to_owned());
-        Some(named)
+        self.by_endpoint.insert(endpoint.to_owned(), limit);
+        self.changed.insert(endpoint.to_owned());
+        Some(limit)
     }
 
-    /// Learns what others saw, and returns what of it was news here.
-    pub fn merge(&mut self, now: Time, told: &[NamedLimit]) -> Vec<NamedLimit> {
-        told.iter().filter_map(|told| self.merge_one(now, told)).collect()
+    /// Merges limits that other boxes sent, and returns those that changed the limit known here.
+    pub fn merge(&mut self, now: EpochTime, received: &[EndpointLimit]) -> Vec<EndpointLimit> {
+        received.iter().filter_map(|received| self.merge_one(now, received)).collect()
     }
 
-    fn merge_one(&mut self, now: Time, told: &NamedLimit) -> Option<NamedLimit> {
-        // One that comes from the future would go before all that is seen until then.
-        let named = Named { at: told.named.at.min(now), ..told.named };
-        let known = self.by_endpoint.get(&told.endpoint).copied();
-        if known.is_some_and(|known| (named.born, named.at) <= (known.born, known.at)) {
+    fn merge_one(&mut self, now: EpochTime, received: &EndpointLimit) -> Option<EndpointLimit> {
+        // A time in the future would take precedence over everything seen until then.
+        let limit = AdvertisedLimit { seen_at: received.limit.seen_at.min(now), ..received.limit };
+        let known = self.by_endpoint.get(&received.endpoint).copied();
+        if known.is_some_and(|known| (limit.born, limit.seen_at) <= (known.born, known.seen_at)) {
             return None;
         }
-        self.by_endpoint.insert(told.endpoint.clone(), named);
-        let is_news = known.is_none_or(|known| !known.says_the_same(&named));
-        is_news.then(|| NamedLimit { endpoint: told.endpoint.clone(), named })
+        self.by_endpoint.insert(received.endpoint.clone(), limit);
+        let is_changed = known.is_none_or(|known| !known.is_same_limit(&limit));
+        is_changed.then(|| EndpointLimit { endpoint: received.endpoint.clone(), limit })
     }
 
-    /// Has something told on with the next news.
-    pub fn pass_on(&mut self, told: &[NamedLimit]) {
-        self.news.extend(told.iter().map(|told| told.endpoint.clone()));
+    /// Adds limits that another box sent to the next updates.
+    pub fn forward(&mut self, limits: &[EndpointLimit]) {
+        self.changed.extend(limits.iter().map(|limit| limit.endpoint.clone()));
     }
 
-    /// What others have to know since this was last asked.
-    pub fn take_news(&mut self) -> Vec<NamedLimit> {
-        let news = std::mem::take(&mut self.news);
-        news.into_iter().filter_map(|endpoint| self.limit_of(endpoint)).collect()
+    /// Returns the limits that changed since the last call, to be sent to other boxes.
+    pub fn take_updates(&mut self) -> Vec<EndpointLimit> {
+        let changed = std::mem::take(&mut self.changed);
+        changed.into_iter().filter_map(|endpoint| self.limit_of(endpoint)).collect()
     }
 
-    /// All that is known, for a box that knows nothing.
-    pub fn all(&self) -> Vec<NamedLimit> {
+    /// Returns all limits, for a box that has just connected.
+    pub fn all(&self) -> Vec<EndpointLimit> {
         self.by_endpoint.keys().filter_map(|endpoint| self.limit_of(endpoint.clone())).collect()
     }
 
-    fn limit_of(&self, endpoint: InstanceId) -> Option<NamedLimit> {
-        let named = *self.by_endpoint.get(&endpoint)?;
-        Some(NamedLimit { endpoint, named })
+    fn limit_of(&self, endpoint: InstanceId) -> Option<EndpointLimit> {
+        let limit = *self.by_endpoint.get(&endpoint)?;
+        Some(EndpointLimit { endpoint, limit })
     }
 
-    /// Forgets what no longer matters: of endpoints that are not there, and limits that have ended.
-    pub fn forget(&mut self, now: Time, is_there: impl Fn(&str, Born) -> bool) {
-        self.by_endpoint.retain(|endpoint, named| {
-            now < named.at + KEPT || (!named.ended && is_there(endpoint, named.born))
+    /// Removes limits that were lifted, or whose endpoint is not in use any more, once they are
+    /// older than `LIMIT_RETENTION`.
+    pub fn remove_expired(&mut self, now: EpochTime, in_use: impl Fn(&str, StartMillis) -> bool) {
+        self.by_endpoint.retain(|endpoint, limit| {
+            now < limit.seen_at + LIMIT_RETENTION || (!limit.lifted && in_use(endpoint, limit.born))
         });
     }
 }
--- a/crates/vaneway-server/src/core/callers/front.rs
+++ b/crates/vaneway-server/src/core/callers/front.rs
@@ -1,4 +1,4 @@
-//! The callers' listening address.
+//! The listener for callers.
 
 use std::io;
 use std::rc::Rc;
@@ -9,20 +9,20 @@
 
 use crate::core::callers::protocol::CallerProtocol;
 use crate::core::entry::Entry;
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 use crate::util::http_server;
 use crate::util::http_server::ConnectionLimits;
 use crate::util::http_server::Handler;
 use crate::util::http_server::HttpServer;
 
-/// What answers callers: the entry, in the callers' protocol.
+/// Handles the requests of callers, in the callers' protocol.
 #[derive(Debug)]
-struct Front<C> {
+struct CallerHandler<C> {
     entry: Rc<Entry>,
     protocol: C,
 }
 
-/// Starts to listen for callers.
+/// Starts listening for callers.
 ///
 /// # Errors
 ///
@@ -30,11 +30,11 @@
 pub fn bind<C: CallerProtocol>(entry: Rc<Entry>, protocol: C) -> io::Result<HttpServer> {
     let timers = entry.timers.clone();
     let listen = entry.settings.listen;
-    http_server::bind(listen, timers, Rc::new(Front { entry, protocol }))
+    http_server::bind(listen, timers, Rc::new(CallerHandler { entry, protocol }))
 }
 
-impl<C: CallerProtocol> Handler for Front<C> {
-    async fn handle(self: Rc<Self>, req: Request<Incoming>) -> Response<CallerBody> {
+impl<C: CallerProtocol> Handler for CallerHandler<C> {
+    async fn handle(self: Rc<Self>, req: Request<Incoming>) -> Response<ResponseBody> {
         self.protocol.serve(Rc::clone(&self.entry), req).await
     }
 
@@ -42,12 +42,12 @@
         let limits = self.entry.caller_limits();
         ConnectionLimits {
             header_bytes: limits.header_bytes,
-            header_within: limits.header_within,
-            idle_within: limits.idle_within,
+            header_timeout: limits.header_timeout,
+            idle_timeout: limits.idle_timeout,
         }
     }
 
-    fn connections(&self, count: usize) {
-        self.entry.callers.set(count);
+    fn connections_changed(&self, count: usize) {
+        self.entry.caller_connections.set(count);
     }
 }
--- a/crates/vaneway-server/src/core/callers/mod.rs
+++ b/crates/vaneway-server/src/core/callers/mod.rs
@@ -1,9 +1,9 @@
-//! Towards callers: protocols, routing by the configuration, errors and bodies.
+//! The callers' side: protocols, routing by the configuration, errors and response bodies.
 
 pub mod answer;
 pub mod api_error;
 pub mod front;
-pub mod own;
+pub mod native;
 pub mod protocol;
 pub mod ready;
 pub mod routed;
--- a/crates/vaneway-server/src/core/cluster/work_at_endpoints.rs
+++ b/crates/vaneway-server/src/core/cluster/work_at_endpoints.rs
@@ -1,4 +1,4 @@
-//! What an entry box tells of its work at registered endpoints, and what it learns of all boxes' work there.
+//! Reports of this entry box's load at registered endpoints, and updates of all boxes' load there.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +6,12 @@
 use vaneway_route::Load;
 use vaneway_route::PartId;
 
+use crate::core::cached_parts::CachedParts;
 use crate::core::entry::Entry;
-use crate::core::kept_parts::KeptParts;
 use crate::core::loads::Loads;
 use crate::util::clock;
 
-/// What this box has open at each registered endpoint that has anything.
+/// This box's load at each registered endpoint where it has any.
 pub fn open_loads(entry: &Entry) -> Loads {
     let pool = entry.pool.borrow();
     let registered = entry.registered.borrow();
@@ -23,40 +23,41 @@
     loads.filter(|(_, load)| *load != Load::default()).collect()
 }
 
-/// Learns what all entry boxes have open at some endpoints, or at all if `whole`; `own` is what this
-/// box told of its part.
-pub fn learn_loads(
+/// Applies the load of all entry boxes at some endpoints, or at all of them if `is_full`; `own` is
+/// this box's load as last reported.
+pub fn apply_loads(
     entry: &Entry,
-    whole: bool,
+    is_full: bool,
     loads: &[(InstanceId, Load)],
     own: &BTreeMap<InstanceId, Load>,
 ) {
     let now = clock::now();
     let mut pool = entry.pool.borrow_mut();
     let registered = entry.registered.borrow();
-    if whole {
+    if is_full {
         for endpoint in registered.values() {
-            pool.tell_others(now, *endpoint, Load::default());
+            pool.set_others_load(now, *endpoint, Load::default());
         }
     }
     for (instance, load) in loads {
         let Some(endpoint) = registered.get(instance) else { continue };
         let own = own.get(instance).copied().unwrap_or_default();
-        // What this box told last may not be in the sum yet.
+        // The sum may not yet contain what this box reported last.
         let others = Load {
             requests: load.requests.saturating_sub(own.requests),
             tokens: load.tokens.saturating_sub(own.tokens),
         };
-        pool.tell_others(now, *endpoint, others);
+        pool.set_others_load(now, *endpoint, others);
     }
 }
 
-/// Prompt parts that requests of this box brought to registered endpoints, where that is news.
-pub fn take_brought(entry: &Entry) -> KeptParts {
+/// Returns the prompt parts that this box's requests brought to registered endpoints, as far as not
+/// reported yet.
+pub fn take_new_parts(entry: &Entry) -> CachedParts {
     let mut pool = entry.pool.borrow_mut();
     let mut parts = BTreeMap::<InstanceId, Vec<PartId>>::new();
-    for (endpoint, part) in pool.take_brought() {
-        // An endpoint from the registry is named by its instance.
+    for (endpoint, part) in pool.take_new_parts() {
+        // The spec of an endpoint from the registry has the instance's id as its name.
         let instance = &pool.get(endpoint).spec.name;
         if entry.registered.borrow().contains_key(instance) {
             parts.entry(instance.clone()).or_default().push(part);
@@ -65,14 +66,14 @@
     parts.into_iter().collect()
 }
 
-/// Learns which prompt parts requests of any box brought to endpoints.
-pub fn learn_parts(entry: &Entry, parts: &[(InstanceId, Vec<PartId>)]) {
+/// Applies the prompt parts that requests of any box brought to endpoints.
+pub fn apply_parts(entry: &Entry, parts: &[(InstanceId, Vec<PartId>)]) {
     let now = clock::now();
     let mut pool = entry.pool.borrow_mut();
     let registered = entry.registered.borrow();
     for (instance, parts) in parts {
         if let Some(endpoint) = registered.get(instance) {
-            pool.tell_parts(now, *endpoint, parts);
+            pool.record_cached_parts(now, *endpoint, parts);
         }
     }
 }
--- a/crates/vaneway-server/src/core/control/capacity.rs
+++ b/crates/vaneway-server/src/core/control/capacity.rs
@@ -1,5 +1,4 @@
-//! Orders of replicas: what the planners of the services go by, and the calls that carry out what
-//! they decide.
+//! Orders of replicas: the inputs of each service's planner, and the calls that place its orders.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,65 +14,67 @@
 use vaneway_engine::Demand;
 use vaneway_engine::EngineSize;
 use vaneway_engine::Rates;
-use vaneway_registry::Standing;
+use vaneway_registry::Lifecycle;
 
 use crate::core::configuration::CapacitySpec;
 use crate::core::configuration::ServiceSpec;
 use crate::core::control::duties;
-use crate::core::control::duties::CallEnd;
+use crate::core::control::duties::CallResult;
+use crate::core::control::entry_updates;
 use crate::core::control::protocol::CloudProtocol;
 use crate::core::control::state::Control;
-use crate::core::control::telling;
-use crate::core::hearing::News;
+use crate::core::report_tracker::ReportCoverage;
 use crate::core::settings::CloudSettings;
 use crate::util::clock;
 use crate::util::logline::Line;
 
-/// Silence after which a replica no longer counts as running.
-const HEARD_WITHIN: Duration = Duration::from_secs(5);
+/// Maximum age of the last heartbeat of a replica that counts as running.
+const MAX_HEARTBEAT_AGE: Duration = Duration::from_secs(5);
 
-/// Time after the start of a control box before it knows all replicas by their heartbeats.
-const KNOWS_AFTER: Duration = Duration::from_secs(3);
+/// Time after the start of a control box until it has received a heartbeat of every replica.
+const REGISTRY_WARM_UP: Duration = Duration::from_secs(3);
 
-/// Time for which work must have been seen before the demand is acted on: a little more than what the
-/// rates are measured over, since a box that has just become the leader has not heard all of it.
-const SETTLED_AFTER: Duration = Duration::from_secs(5);
+/// Time for which work must have been observed before the demand is acted on. A little longer than
+/// the rates are measured over, since a new leader has not received all of the work.
+const MIN_OBSERVATION_TIME: Duration = Duration::from_secs(5);
 
-/// The demand for a service, and what it was seen by.
+/// The demand for a service, and the reports that it is based on.
 #[derive(Debug, Clone, Copy)]
-struct SeenDemand {
+struct ObservedDemand {
     demand: Demand,
-    news: News,
+    coverage: ReportCoverage,
 }
 
 /// The planners of the services for which replicas may be ordered.
 #[derive(Debug, Default)]
 pub struct Orders {
     planners: BTreeMap<String, Planner>,
-    /// When work for a service was first seen here.
-    seen_since: BTreeMap<String, Instant>,
-    /// The work for a service when all entry boxes were last heard.
+    /// When work for a service was first observed here.
+    observed_since: BTreeMap<String, Instant>,
+    /// The rates of work for a service when all entry boxes last reported.
     rates: BTreeMap<String, Rates>,
 }
 
 impl Orders {
-    /// Gives the orders that are due.
-    pub async fn give<C: CloudProtocol>(
+    /// Places the orders that are due.
+    pub async fn place_due<C: CloudProtocol>(
         &mut self,
         control: &Control,
         cloud: &CloudSettings,
         protocol: &C,
     ) {
-        let Some(held) = control.machine.borrow().held().cloned() else { return };
-        if clock::elapsed(control.started) < KNOWS_AFTER {
+        let Some(current) = control.machine.borrow().current_configuration().cloned() else {
+            return;
+        };
+        if clock::elapsed(control.started) < REGISTRY_WARM_UP {
             return;
         }
-        let configuration = &held.configuration;
+        let configuration = &current.configuration;
         for service in &configuration.services {
             let Some(spec) = &service.capacity else { continue };
-            let (input, seen) = self.input(control, service, spec);
+            let (input, observed) = self.input(control, service, spec);
             let planner = self.planner(control, service);
-            learn_least(planner, seen);
+            record_lower_bound(planner, observed);
             for order in planner.plan(clock::now(), &input) {
                 if !duties::holds_duty(control) {
                     return;
@@ -84,30 +85,33 @@
                     .with("availability_zone", &order.zone)
                     .with("kind", format!("{:?}", order.kind))
                     .with("count", order.count)
-                    .with("limited", format!("{:.2}", input.limited))
+                    .with("limited", format!("{:.2}", input.lost_to_limits))
                     .with("answer", format!("{answer:?}"));
-                with_demand(line, seen, control).info();
-                planner.answered(clock::now(), &order, answer);
+                with_demand(line, observed, control).info();
+                planner.record_answer(clock::now(), &order, answer);
             }
         }
     }
 
-    /// Follows the load and the fleet while another box gives the orders.
+    /// Updates the planners with the load and the replicas while another box places the orders.
     ///
-    /// Why: a leader that has just been elected, perhaps because of what also took the replicas, must not take the
-    /// fleet that it finds for what the load needs. One that did would order a third of it until it knows the
-    /// demand, for five seconds in which hardly a request is in time.
-    pub fn watch(&mut self, control: &Control) {
-        let Some(held) = control.machine.borrow().held().cloned() else { return };
-        if clock::elapsed(control.started) < KNOWS_AFTER {
+    /// The failure that led to an election may also have taken down replicas. A new leader must not
+    /// mistake the remaining replicas for what the load needs: until it knows the demand, it would
+    /// order only a third of what is needed, for five seconds in which hardly any request is
+    /// answered in time.
+    pub fn observe(&mut self, control: &Control) {
+        let Some(current) = control.machine.borrow().current_configuration().cloned() else {
+            return;
+        };
+        if clock::elapsed(control.started) < REGISTRY_WARM_UP {
             return;
         }
-        for service in &held.configuration.services {
+        for service in &current.configuration.services {
             let Some(spec) = &service.capacity else { continue };
-            let (input, seen) = self.input(control, service, spec);
+            let (input, observed) = self.input(control, service, spec);
             let planner = self.planner(control, service);
-            learn_least(planner, seen);
-            planner.watch(clock::now(), &input);
+            record_lower_bound(planner, observed);
+            planner.observe(clock::now(), &input);
         }
     }
 
@@ -116,102 +120,108 @@
         planner.or_insert_with(|| Planner::new(control.settings.capacity))
     }
 
-    /// What the planner of a service goes by, with the demand if all of it was seen, and as much of it as was seen.
+    /// The input of a service's planner, and the demand that was observed. The input contains the
+    /// demand only if all of it was observed.
     fn input(
         &mut self,
         control: &Control,
         service: &ServiceSpec,
         spec: &CapacitySpec,
-    ) -> (Input, Option<SeenDemand>) {
+    ) -> (Input, Option<ObservedDemand>) {
         let mut input = input(control, &service.name, spec);
-        let seen = self.demand(control, service, input.running.values().sum());
-        let replicas = seen.map(|seen| seen.demand.replicas());
-        input.demand = replicas.filter(|_| seen.is_some_and(|seen| seen.news.is_whole()));
+        let observed = self.demand(control, service, input.running.values().sum());
+        let replicas = observed.map(|observed| observed.demand.replicas());
+        input.demand =
+            replicas.filter(|_| observed.is_some_and(|observed| observed.coverage.is_complete()));
         if let Some(demand) = replicas.filter(|demand| *demand > 0.0) {
             let runs = self.rates.get(&service.name).map_or(0.0, |rates| rates.runs);
-            input.limited = limited(control, &service.name, runs / demand);
+            input.lost_to_limits = replicas_lost_to_limits(control, &service.name, runs / demand);
         }
-        (input, seen)
+        (input, observed)
     }
 
-    /// The demand for a service; none while too little was seen of its engines, or not for long, or while
-    /// no entry box is heard.
+    /// The demand for a service; none while too little of its engines has been observed, or not for
+    /// long enough, or while no entry box reports.
     fn demand(
         &mut self,
         control: &Control,
         service: &ServiceSpec,
         running: u32,
-    ) -> Option<SeenDemand> {
+    ) -> Option<ObservedDemand> {
         let engine = service.engine.as_ref()?;
-        let ledger = control.use_ledger.borrow();
-        let told = ledger.rates(control.now(), &service.name);
-        if told.runs > 0.0 {
-            self.seen_since.entry(service.name.clone()).or_insert_with(clock::now);
+        let ledger = control.usage_ledger.borrow();
+        let reported = ledger.rates(control.now(), &service.name);
+        if reported.runs > 0.0 {
+            self.observed_since.entry(service.name.clone()).or_insert_with(clock::now);
         }
-        let since = *self.seen_since.get(&service.name)?;
+        let since = *self.observed_since.get(&service.name)?;
         let speeds = ledger.speeds(&service.name);
-        if !speeds.are_known() {
+        if !speeds.are_reliable() {
             return None;
         }
-        let size = EngineSize { places: engine.slots, memory: engine.memory_tokens };
-        let news = ledger.news_of_work(control.now(), telling::sharers(control).known);
-        let News { heard, known, .. } = news;
+        let size = EngineSize { batch_slots: engine.slots, memory_tokens: engine.memory_tokens };
+        let coverage = ledger.work_coverage(control.now(), entry_updates::sharers(control).known);
+        let ReportCoverage { reporting, known, .. } = coverage;
         let last = self.rates.get(&service.name).copied();
-        let rates = told.of_all(heard, known, last)?;
-        if heard >= known {
-            self.rates.insert(service.name.clone(), told);
+        let rates = reported.extrapolate(reporting, known, last)?;
+        if reporting >= known {
+            self.rates.insert(service.name.clone(), reported);
         }
-        let settled = clock::elapsed(since) >= SETTLED_AFTER;
-        settled.then(|| SeenDemand { demand: speeds.demand(rates, size, running), news })
+        let settled = clock::elapsed(since) >= MIN_OBSERVATION_TIME;
+        settled.then(|| ObservedDemand { demand: speeds.demand(rates, size, running), coverage })
     }
 }
 
-/// Tells the planner of a service of a demand that was not seen in full: it may order more by that, not less.
-fn learn_least(planner: &mut Planner, seen: Option<SeenDemand>) {
-    if let Some(SeenDemand { demand, .. }) = seen.filter(|seen| !seen.news.is_whole()) {
-        planner.learn_least(clock::now(), demand.replicas());
+/// Passes a demand that was only partly observed to the planner, as a lower bound: it may order
+/// more replicas because of it, but not fewer.
+fn record_lower_bound(planner: &mut Planner, observed: Option<ObservedDemand>) {
+    if let Some(ObservedDemand { demand, .. }) =
+        observed.filter(|observed| !observed.coverage.is_complete())
+    {
+        planner.observe_min_demand(clock::now(), demand.replicas());
     }
 }
 
-/// Adds the demand in replicas, what keeps them busy, and whose news that goes by.
-fn with_demand(line: Line, seen: Option<SeenDemand>, control: &Control) -> Line {
-    let Some(SeenDemand { demand, news }) = seen else {
-        let known = telling::sharers(control).known;
-        let news = control.use_ledger.borrow().news_of_work(control.now(), known);
-        return with_news(line.with("demand", "unknown"), news);
+/// Adds the demand in replicas, the resources that determine it, and the reports that it is based
+/// on.
+fn with_demand(line: Line, observed: Option<ObservedDemand>, control: &Control) -> Line {
+    let Some(ObservedDemand { demand, coverage }) = observed else {
+        let known = entry_updates::sharers(control).known;
+        let coverage = control.usage_ledger.borrow().work_coverage(control.now(), known);
+        return with_coverage(line.with("demand", "unknown"), coverage);
     };
     let replicas = |count: f64| format!("{count:.2}");
-    with_news(line, news)
+    with_coverage(line, coverage)
         .with("demand", replicas(demand.replicas()))
         .with("binding", demand.binding())
-        .with("reading", replicas(demand.reading))
+        .with("reading", replicas(demand.prefill))
         .with("generating", replicas(demand.generating))
         .with("memory", replicas(demand.memory))
 }
 
-/// Adds whose news a decision goes by.
-fn with_news(line: Line, news: News) -> Line {
-    line.with("heard", news.heard)
-        .with("throughout", news.throughout)
-        .with("known", news.known)
-        .with("news_ms_old", news.age.as_millis())
+/// Adds the reports that a decision is based on.
+fn with_coverage(line: Line, coverage: ReportCoverage) -> Line {
+    line.with("heard", coverage.reporting)
+        .with("throughout", coverage.reporting_throughout)
+        .with("known", coverage.known)
+        .with("news_ms_old", coverage.oldest_age.as_millis())
 }
 
-/// What runs of a service and what may be ordered; the demand is filled in later.
+/// What is running of a service and what may be ordered; the demand is added later.
 fn input(control: &Control, service: &str, spec: &CapacitySpec) -> Input {
     let now = clock::now();
     let mut running = BTreeMap::<(ZoneName, Kind), u32>::new();
     let mut leaving = BTreeMap::<ZoneName, u32>::new();
-    for (_, known) in control.registry.borrow().iter() {
-        let Some(details) = known.details.as_ref().filter(|d| d.service == service) else {
+    for (_, record) in control.registry.borrow().iter() {
+        let Some(details) = record.details.as_ref().filter(|d| d.service == service) else {
             continue;
         };
-        let heard = now.saturating_duration_since(known.heard) < HEARD_WITHIN;
+        let is_alive = now.saturating_duration_since(record.last_report_at) < MAX_HEARTBEAT_AGE;
         let kind = if details.reclaimable { Kind::Reclaimable } else { Kind::OnDemand };
         let zone = details.availability_zone.clone();
-        if known.standing == Standing::Ready && heard {
+        if record.lifecycle == Lifecycle::Ready && is_alive {
             *running.entry((zone, kind)).or_default() += 1;
-        } else if kind == Kind::Reclaimable && known.standing == Standing::Draining && heard {
+        } else if kind == Kind::Reclaimable && record.lifecycle == Lifecycle::Draining && is_alive {
             *leaving.entry(zone).or_default() += 1;
         }
     }
@@ -219,28 +229,30 @@
     Input {
         demand: None,
         zones: zones.map(|(name, price)| Zone { name: name.clone(), price: *price }).collect(),
-        least: spec.least,
-        most: spec.most,
-        start_takes: spec.start_takes,
+        min_per_zone: spec.least,
+        max_per_zone: spec.most,
+        startup_time: spec.start_takes,
         running,
         leaving,
-        limited: 0.0,
+        lost_to_limits: 0.0,
     }
 }
 
-/// What of a service's replicas is lost to limits that they name, in replicas; one that is busy all the time would do
-/// `full` requests a second.
-fn limited(control: &Control, service: &str, full: f64) -> f64 {
-    if full <= 0.0 {
+/// Capacity of a service's replicas that is lost to the rate limits that they advertise, in
+/// replicas. A fully used replica would serve `full_rate` requests per second.
+fn replicas_lost_to_limits(control: &Control, service: &str, full_rate: f64) -> f64 {
+    if full_rate <= 0.0 {
         return 0.0;
     }
     let limits = control.limits.borrow();
     let registry = control.registry.borrow();
-    let lost = registry.iter().filter_map(|(instance, known)| {
-        let named = limits.get(instance).filter(|named| named.is_of(known.born) && !named.ended)?;
-        let serves = known.details.as_ref().is_some_and(|details| details.service == service);
-        let takes = (named.rate.per_second() / full).min(1.0);
-        (serves && known.standing == Standing::Ready).then_some(1.0 - takes)
+    let lost = registry.iter().filter_map(|(instance, record)| {
+        let limit = limits
+            .get(instance)
+            .filter(|limit| limit.matches_incarnation(record.born) && !limit.lifted)?;
+        let serves = record.details.as_ref().is_some_and(|details| details.service == service);
+        let served = (limit.rate.per_second() / full_rate).min(1.0);
+        (serves && record.lifecycle == Lifecycle::Ready).then_some(1.0 - served)
     });
     lost.sum()
 }
@@ -254,7 +266,7 @@
 ) -> Answer {
     let req = protocol.capacity_order(&control.holder(), service, order);
     match duties::call(control, cloud, req).await {
-        CallEnd::Answered(status) => protocol.order_answer(status),
-        CallEnd::Unknown => Answer::Unknown,
+        CallResult::Answered(status) => protocol.order_answer(status),
+        CallResult::Unknown => Answer::Unknown,
     }
 }
--- a/crates/vaneway-server/src/core/control/links.rs
+++ b/crates/vaneway-server/src/core/control/links.rs
@@ -10,111 +10,120 @@
 use vaneway_agreement::NodeId;
 use vaneway_limit::BoxNumber;
 
-use crate::core::cluster::wire::BUSY_MOST;
 use crate::core::cluster::wire::BetweenControl;
-use crate::core::cluster::wire::CONFIGURATION;
-use crate::core::cluster::wire::CONFIGURATION_AGREED;
+use crate::core::cluster::wire::CONFIGURATION_TOPIC;
+use crate::core::cluster::wire::CONFIGURATION_VERSION_TOPIC;
 use crate::core::cluster::wire::FromEntry;
-use crate::core::cluster::wire::SILENCE_MOST;
+use crate::core::cluster::wire::HOST_IDLE_TIMEOUT;
+use crate::core::cluster::wire::PROCESS_IDLE_TIMEOUT;
 use crate::core::cluster::wire::ToControl;
 use crate::core::cluster::wire::ToEntry;
 use crate::core::cluster::wire::Wanted;
 use crate::core::configuration::Version;
+use crate::core::control::dissemination;
+use crate::core::control::dissemination::Source;
+use crate::core::control::entry_updates;
 use crate::core::control::group;
-use crate::core::control::news;
-use crate::core::control::news::Source;
 use crate::core::control::peers;
 use crate::core::control::remembered;
 use crate::core::control::state::Control;
-use crate::core::control::telling;
-use crate::core::entry_start::EntryStart;
+use crate::core::entry_incarnation::EntryIncarnation;
 use crate::util::clock;
 use crate::util::frames;
-use crate::util::frames::Encoded;
-use crate::util::frames::Silence;
+use crate::util::frames::EncodedFrame;
+use crate::util::frames::IdleTimeouts;
 use crate::util::logline::Line;
-use crate::util::outgoing::Outgoing;
+use crate::util::send_queue::SendQueue;
 use crate::util::socket::SocketListener;
 use crate::util::socket::SocketStream;
 
 /// A connection of an entry box.
 #[derive(Debug)]
 pub struct EntryLink {
-    /// Who it is.
-    pub start: EntryStart,
-    pub(super) outgoing: Outgoing,
-    /// What it wants to be told of the others.
-    pub(super) wanted: Cell<Wanted>,
-    /// Its number among the entry boxes as it was told last, if it wants to know.
+    /// Name and boot number of the entry box.
+    pub incarnation: EntryIncarnation,
+    pub(super) outgoing: SendQueue,
+    /// The updates about other entry boxes that it has subscribed to.
+    pub(super) subscription: Cell<Wanted>,
+    /// Its number among the entry boxes as last sent, if it has subscribed to loads.
     pub(super) box_number: Cell<Option<BoxNumber>>,
     /// Version of the configuration that it had when it connected.
-    had: Version,
-    configurations: Cell<Configurations>,
+    initial_version: Version,
+    configuration_delivery: Cell<ConfigurationDelivery>,
 }
 
-/// How an entry box gets configurations.
+/// How an entry box receives configurations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Configurations {
-    /// It has not said yet.
+enum ConfigurationDelivery {
+    /// Not known yet.
     Unknown,
-    /// It is told the version and asks.
+    /// It is sent version numbers and requests the configuration itself.
     Offered,
-    /// It is sent each, since it is of a version of this program that doesn't ask.
+    /// It is sent each configuration, since it runs an older version of this program that makes no
+    /// requests.
     Sent,
 }
 
 impl EntryLink {
-    /// What it is told of the others.
-    pub fn wanted(&self) -> Wanted {
-        self.wanted.get()
+    /// The updates about other entry boxes that it has subscribed to.
+    pub fn subscription(&self) -> Wanted {
+        self.subscription.get()
     }
 }
 
-/// Sends a message to every entry box that is connected.
+/// Sends a message to every connected entry box.
 pub(super) fn send_to_entries(control: &Control, message: &ToEntry) {
-    let message = Encoded::new(message);
-    for entry in control.entries.borrow().values() {
+    let message = EncodedFrame::new(message);
+    for entry in control.entry_links.borrow().values() {
         entry.outgoing.send_encoded(&message);
     }
 }
 
-/// Sends a message to the entry boxes that this box tells of loads.
-pub(super) fn send_to_those_told_of_loads(control: &Control, message: &ToEntry) {
-    let message = Encoded::new(message);
-    for entry in control.entries.borrow().values().filter(|entry| entry.wanted.get().loads) {
+/// Sends a message to the entry boxes that have subscribed to loads at this box.
+pub(super) fn send_to_load_subscribers(control: &Control, message: &ToEntry) {
+    let message = EncodedFrame::new(message);
+    for entry in
+        control.entry_links.borrow().values().filter(|entry| entry.subscription.get().loads)
+    {
         entry.outgoing.send_encoded(&message);
     }
 }
 
-/// Offers a version of the configuration to the entry boxes that ask for it themselves, and sends it to the others.
-pub(super) fn spread_configuration(control: &Control, version: Version) {
-    let offer = Encoded::new(&ToEntry::ConfigurationAgreed { version });
-    for entry in control.entries.borrow().values() {
-        match entry.configurations.get() {
-            Configurations::Offered => entry.outgoing.send_newest(CONFIGURATION_AGREED, &offer),
-            Configurations::Sent => send_configuration(control, entry, 0),
-            Configurations::Unknown => {}
+/// Offers a version of the configuration to the entry boxes that request configurations themselves,
+/// and sends the configuration to the others.
+pub(super) fn publish_configuration(control: &Control, version: Version) {
+    let offer = EncodedFrame::new(&ToEntry::ConfigurationAgreed { version });
+    for entry in control.entry_links.borrow().values() {
+        match entry.configuration_delivery.get() {
+            ConfigurationDelivery::Offered => {
+                entry.outgoing.send_newest(CONFIGURATION_VERSION_TOPIC, &offer);
+            }
+            ConfigurationDelivery::Sent => send_configuration(control, entry, 0),
+            ConfigurationDelivery::Unknown => {}
         }
     }
 }
 
-/// Sends an entry box the configuration, or how it differs from the version that it has.
+/// Sends an entry box the configuration, or the difference to the version that it has.
 fn send_configuration(control: &Control, entry: &EntryLink, have: Version) {
     let machine = control.machine.borrow();
-    let Some(held) = machine.held().filter(|held| held.configuration.version > have) else {
+    let Some(current) =
+        machine.current_configuration().filter(|current| current.configuration.version > have)
+    else {
         return;
     };
-    let answer = control.changes.borrow_mut().answer(&held.configuration, have);
-    entry.outgoing.send_newest(CONFIGURATION, &answer);
+    let answer = control.changes.borrow_mut().update_since(&current.configuration, have);
+    entry.outgoing.send_newest(CONFIGURATION_TOPIC, &answer);
 }
 
-/// Offers the configuration that is agreed on from now on to an entry box, which asks for it.
+/// Offers the committed configuration to an entry box, now and whenever it changes; the entry box
+/// requests it.
 fn offer_configurations(control: &Control, entry: &EntryLink) {
-    entry.configurations.set(Configurations::Offered);
+    entry.configuration_delivery.set(ConfigurationDelivery::Offered);
     let version = control.machine.borrow().version();
     if version > 0 {
-        let offer = Encoded::new(&ToEntry::ConfigurationAgreed { version });
-        entry.outgoing.send_newest(CONFIGURATION_AGREED, &offer);
+        let offer = EncodedFrame::new(&ToEntry::ConfigurationAgreed { version });
+        entry.outgoing.send_newest(CONFIGURATION_VERSION_TOPIC, &offer);
     }
 }
 
@@ -126,56 +135,62 @@
     }
 }
 
-/// Who a connection belongs to, once it said so.
+/// The peer of a connection, once it has identified itself.
 #[derive(Debug)]
 enum Sender {
     Unknown,
-    Entry { link: u64, start: EntryStart },
+    Entry { link: u64, incarnation: EntryIncarnation },
     Control { node: NodeId },
 }
 
 async fn serve(control: Rc<Control>, stream: SocketStream) {
-    let outgoing = Outgoing::new(&control.held);
+    let outgoing = SendQueue::new(&control.buffered);
     let mut sender = Sender::Unknown;
     let on_frame = async |frame: &[u8]| {
-        // Entry boxes are many and can wait; other control boxes can't.
+        // Messages of the many entry boxes can wait for a turn; those of other control boxes
+        // cannot.
         if matches!(sender, Sender::Entry { .. }) {
             control.turns.next().await;
         }
         let Some(message) = frames::decode::<ToControl>(frame) else {
-            control.unreadable.update(|count| count + 1);
+            control.unreadable_messages.update(|count| count + 1);
             return;
         };
         if matches!(message, ToControl::Entry(FromEntry::Hello { .. })) {
             control.turns.next().await;
         }
-        received(&control, &outgoing, &mut sender, message);
+        handle_message(&control, &outgoing, &mut sender, message);
     };
-    let silence = Silence { system: SILENCE_MOST, process: BUSY_MOST };
-    let why = frames::drive(&control.timers, &stream, &outgoing, silence, on_frame).await;
-    if let Sender::Entry { link, start } = sender {
-        control.entries.borrow_mut().remove(&link);
-        // It may have connected again before this connection was found to be lost.
-        if !control.entries.borrow().values().any(|link| link.start == start) {
-            control.use_ledger.borrow_mut().loads().remove(&start);
+    let idle_timeouts = IdleTimeouts { host: HOST_IDLE_TIMEOUT, process: PROCESS_IDLE_TIMEOUT };
+    let why = frames::drive(&control.timers, &stream, &outgoing, idle_timeouts, on_frame).await;
+    if let Sender::Entry { link, incarnation } = sender {
+        control.entry_links.borrow_mut().remove(&link);
+        // The entry box may have reconnected before this connection was found to be lost.
+        if !control.entry_links.borrow().values().any(|link| link.incarnation == incarnation) {
+            control.usage_ledger.borrow_mut().loads().remove(&incarnation);
         }
-        Line::new("entry_lost").with("entry", start.0).with("why", why).info();
+        Line::new("entry_lost").with("entry", incarnation.0).with("why", why).info();
     }
 }
 
-fn received(control: &Rc<Control>, outgoing: &Outgoing, sender: &mut Sender, message: ToControl) {
+fn handle_message(
+    control: &Rc<Control>,
+    outgoing: &SendQueue,
+    sender: &mut Sender,
+    message: ToControl,
+) {
     match message {
         ToControl::Entry(FromEntry::Hello { name, boot, configuration, known }) => {
-            control.entries_told.update(|told| told.max(known));
-            *sender = welcome(control, outgoing, (name, boot), configuration);
+            control.reported_entry_count.update(|count| count.max(known));
+            *sender = admit_entry(control, outgoing, (name, boot), configuration);
         }
         ToControl::Entry(FromEntry::Ping { sent_us }) => {
             if let Some(entry) = entry_of(control, sender)
-                && entry.configurations.get() == Configurations::Unknown
+                && entry.configuration_delivery.get() == ConfigurationDelivery::Unknown
             {
-                entry.configurations.set(Configurations::Sent);
-                // It can't read how a configuration differs from the one that it has.
-                if control.machine.borrow().version() > entry.had {
+                entry.configuration_delivery.set(ConfigurationDelivery::Sent);
+                // This version cannot decode differences between configurations.
+                if control.machine.borrow().version() > entry.initial_version {
                     send_configuration(control, &entry, 0);
                 }
             }
@@ -184,90 +199,99 @@
             outgoing.send(&ToEntry::Pong { sent_us, time_us });
         }
         ToControl::Entry(FromEntry::Leaving(reports)) => {
-            news::learn_endpoints(control, &reports, Source::Entry);
+            dissemination::merge_endpoints(control, &reports, Source::Entry);
         }
-        ToControl::Entry(FromEntry::Use(report)) => {
-            if let Sender::Entry { start, .. } = sender {
+        ToControl::Entry(FromEntry::Usage(report)) => {
+            if let Sender::Entry { incarnation, .. } = sender {
                 let now = control.now();
-                control.use_ledger.borrow_mut().merge(now, start, &report);
+                control.usage_ledger.borrow_mut().merge(now, incarnation, &report);
             }
         }
         ToControl::Entry(FromEntry::Loads(loads)) => {
-            if let Sender::Entry { start, .. } = sender {
-                control.use_ledger.borrow_mut().loads().update(start, &loads);
+            if let Sender::Entry { incarnation, .. } = sender {
+                control.usage_ledger.borrow_mut().loads().update(incarnation, &loads);
             }
         }
         ToControl::Entry(FromEntry::Parts(parts)) => {
-            control.parts.borrow_mut().learn(clock::now(), &parts);
+            control.cached_parts.borrow_mut().record(clock::now(), &parts);
         }
-        ToControl::Entry(FromEntry::Findings(findings)) => {
-            news::learn_findings(control, &findings, Source::Entry);
+        ToControl::Entry(FromEntry::QuarantineRecords(records)) => {
+            dissemination::merge_quarantine_records(control, &records, Source::Entry);
         }
-        ToControl::Entry(FromEntry::Limits(told)) => {
-            news::learn_limits(control, &told, Source::Entry);
+        ToControl::Entry(FromEntry::Limits(limits)) => {
+            dissemination::merge_limits(control, &limits, Source::Entry);
         }
         ToControl::Entry(FromEntry::OfferConfigurations) => {
             if let Some(entry) = entry_of(control, sender) {
                 offer_configurations(control, &entry);
             }
         }
-        ToControl::Entry(FromEntry::WantConfiguration { have }) => {
+        ToControl::Entry(FromEntry::RequestConfiguration { have }) => {
             if let Some(entry) = entry_of(control, sender) {
                 send_configuration(control, &entry, have);
             }
         }
         ToControl::Entry(FromEntry::Done) => {
-            if let Sender::Entry { start, .. } = sender {
-                control.use_ledger.borrow_mut().end_start(start);
-                Line::new("entry_done").with("entry", &start.0).with("boot", start.1).info();
+            if let Sender::Entry { incarnation, .. } = sender {
+                control.usage_ledger.borrow_mut().mark_done(incarnation);
+                Line::new("entry_done")
+                    .with("entry", &incarnation.0)
+                    .with("boot", incarnation.1)
+                    .info();
             }
         }
-        ToControl::Entry(FromEntry::Tell(wanted)) => {
+        ToControl::Entry(FromEntry::Subscribe(subscription)) => {
             if let Sender::Entry { link, .. } = sender {
-                telling::tell_from_now_on(control, *link, wanted);
+                entry_updates::subscribe(control, *link, subscription);
             }
         }
         ToControl::Control(message) => {
-            from_control(control, outgoing, sender, message);
+            handle_control_message(control, outgoing, sender, message);
         }
     }
 }
 
-/// The connection of an entry box that sent something.
+/// The connection of the entry box that sent a message.
 fn entry_of(control: &Control, sender: &Sender) -> Option<Rc<EntryLink>> {
     let Sender::Entry { link, .. } = sender else { return None };
-    control.entries.borrow().get(link).cloned()
+    control.entry_links.borrow().get(link).cloned()
 }
 
-/// Takes an entry box in and tells it all that it must know; it has the version `had` of the configuration.
-fn welcome(control: &Control, outgoing: &Outgoing, start: EntryStart, had: Version) -> Sender {
+/// Registers an entry box and sends it the state that it needs; `initial_version` is the version of
+/// the configuration that it has.
+fn admit_entry(
+    control: &Control,
+    outgoing: &SendQueue,
+    incarnation: EntryIncarnation,
+    initial_version: Version,
+) -> Sender {
     control.next_link.update(|link| link + 1);
     let link = control.next_link.get();
-    Line::new("entry_connected").with("entry", &start.0).with("boot", start.1).info();
+    Line::new("entry_connected").with("entry", &incarnation.0).with("boot", incarnation.1).info();
     let availability_zone = control.settings.availability_zone.clone();
     outgoing.send(&ToEntry::Hello { availability_zone });
     outgoing.send(&ToEntry::ControlBoxes(control_boxes(control)));
     let reports = control.registry.borrow().reports(clock::now());
     outgoing.send(&ToEntry::Registry(reports));
-    if let Some(left) = remembered::left(control) {
+    if let Some(remaining) = remembered::remaining(control) {
         let endpoints = control.remembered.borrow().clone();
-        outgoing.send(&ToEntry::Remembered { endpoints, left_ms: left.as_millis() as u64 });
+        outgoing.send(&ToEntry::Remembered { endpoints, left_ms: remaining.as_millis() as u64 });
     }
-    let wanted = Cell::default();
+    let subscription = Cell::default();
     let entry = EntryLink {
-        start: start.clone(),
+        incarnation: incarnation.clone(),
         outgoing: outgoing.clone(),
-        wanted,
+        subscription,
         box_number: Cell::default(),
-        had,
-        configurations: Cell::new(Configurations::Unknown),
+        initial_version,
+        configuration_delivery: Cell::new(ConfigurationDelivery::Unknown),
     };
-    control.entries.borrow_mut().insert(link, Rc::new(entry));
-    Sender::Entry { link, start }
+    control.entry_links.borrow_mut().insert(link, Rc::new(entry));
+    Sender::Entry { link, incarnation }
 }
 
-/// The control boxes that take part, by their addresses for other boxes; none while this box
-/// doesn't know.
+/// Addresses at which the members accept connections of other boxes; empty while this box does not
+/// know the members.
 pub(super) fn control_boxes(control: &Control) -> Vec<SocketAddr> {
     let node = control.node.borrow();
     let members = node.log().members();
@@ -275,22 +299,22 @@
     boxes.into_iter().collect()
 }
 
-fn from_control(
+fn handle_control_message(
     control: &Rc<Control>,
-    outgoing: &Outgoing,
+    outgoing: &SendQueue,
     sender: &mut Sender,
     message: BetweenControl,
 ) {
     if let BetweenControl::Hello { node } = message {
         *sender = Sender::Control { node };
-        // What the peer missed while there was no connection.
-        for message in news::all_for_control(control) {
+        // The peer may have missed updates while there was no connection.
+        for message in dissemination::full_state(control) {
             outgoing.send(&message);
         }
         return;
     }
     let Sender::Control { node } = *sender else {
-        control.unreadable.update(|count| count + 1);
+        control.unreadable_messages.update(|count| count + 1);
         return;
     };
     match message {
@@ -298,9 +322,9 @@
         BetweenControl::Ping { time_us, kept_us } => {
             let now = clock::now();
             let mut clock = control.clock.borrow_mut();
-            clock.learn(now, node, Duration::from_micros(time_us));
-            if let Some(kept) = kept_us {
-                clock.learn_kept(now, node, Duration::from_micros(kept));
+            clock.record_peer_time(now, node, Duration::from_micros(time_us));
+            if let Some(established) = kept_us {
+                clock.record_peer_cluster_time(now, node, Duration::from_micros(established));
             }
             drop(clock);
             outgoing.send(&peers::ping(control));
@@ -310,7 +334,9 @@
                 group::step(control, Event::Message { from: node, message });
             }
         }
-        BetweenControl::Join { node: joining } => group::learn_joining(control, node, joining),
-        message => news::learn_from_control(control, message),
+        BetweenControl::Join { node: joining } => {
+            group::record_join_request(control, node, joining);
+        }
+        message => dissemination::merge_from_control(control, message),
     }
 }
--- a/crates/vaneway-server/src/core/control/running.rs
+++ b/crates/vaneway-server/src/core/control/running.rs
@@ -1,4 +1,4 @@
-//! A control box as a running whole: how its parts start and how they stop.
+//! Start and stop of a control box.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -20,13 +20,14 @@
 use vaneway_agreement::Node;
 use vaneway_agreement::NodeId;
 
+use crate::core::control::dissemination::ForwardedCounts;
 use crate::core::control::duties;
+use crate::core::control::entry_updates;
 use crate::core::control::group;
 use crate::core::control::links;
-use crate::core::control::machine::Machine;
+use crate::core::control::machine::StateMachine;
 use crate::core::control::memory;
-use crate::core::control::news::PassedOn;
-use crate::core::control::own::OwnControl;
+use crate::core::control::native::NativeControl;
 use crate::core::control::peers;
 use crate::core::control::protocol::CloudProtocol;
 use crate::core::control::protocol::ControlProtocol;
@@ -37,10 +38,9 @@
 use crate::core::control::state::node_id;
 use crate::core::control::store;
 use crate::core::control::store::Write;
-use crate::core::control::telling;
-use crate::core::endpoints::upstream::Connections;
+use crate::core::endpoints::upstream::ConnectionPool;
 use crate::core::settings::ControlSettings;
-use crate::util::body::CallerBody;
+use crate::util::body::ResponseBody;
 use crate::util::clock;
 use crate::util::http_server;
 use crate::util::http_server::ConnectionLimits;
@@ -52,18 +52,18 @@
 use crate::util::timers::Timers;
 use crate::util::turns::Turns;
 
-/// Largest head of a call.
-const HEADER_BYTES: usize = 16 << 10;
+/// Maximum size of the head of a call in bytes.
+const MAX_HEADER_BYTES: usize = 16 << 10;
 
 /// How long a planned stop lets calls finish.
-const FINISH_WITHIN: Duration = Duration::from_millis(1_200);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// A running control box.
 #[derive(Debug)]
 pub struct RunningControl {
     control: Rc<Control>,
     servers: Vec<HttpServer>,
-    /// Dropped to end what runs in the background.
+    /// Senders whose drop ends the background tasks.
     background: Vec<oneshot::Sender<()>>,
 }
 
@@ -73,20 +73,20 @@
 }
 
 impl<P: ControlProtocol> Handler for Api<P> {
-    async fn handle(self: Rc<Self>, req: Request<Incoming>) -> Response<CallerBody> {
+    async fn handle(self: Rc<Self>, req: Request<Incoming>) -> Response<ResponseBody> {
         self.protocol.serve(Rc::clone(&self.control), req).await
     }
 
     fn limits(&self) -> ConnectionLimits {
-        ConnectionLimits::of_calls(HEADER_BYTES)
+        ConnectionLimits::for_internal_calls(MAX_HEADER_BYTES)
     }
 }
 
-/// Starts a control box on the current loop.
+/// Starts a control box on the current event loop.
 ///
 /// # Errors
 ///
-/// If one of its addresses can't be bound, or its disk can't be read or written.
+/// One of its addresses cannot be bound, or its disk cannot be read or written.
 pub async fn spawn<P: ControlProtocol, C: CloudProtocol>(
     settings: ControlSettings,
     protocol: P,
@@ -99,27 +99,29 @@
     let node = stored.node;
     let config = Config {
         id: node,
-        heartbeat: group::HEARTBEAT,
-        election: group::ELECTION,
-        drift_per_mille: group::DRIFT_PER_MILLE,
+        heartbeat_interval: group::HEARTBEAT_INTERVAL,
+        election_timeout: group::ELECTION_TIMEOUT,
+        max_drift_per_mille: group::MAX_DRIFT_PER_MILLE,
         seed: boot ^ node,
     };
     let mut machine = match &stored.durable.snapshot {
-        Some(snapshot) => Machine::decode(&snapshot.data).wrap_err("the snapshot can't be read")?,
-        None => Machine::default(),
+        Some(snapshot) => {
+            StateMachine::decode(&snapshot.data).wrap_err("failed to decode the snapshot")?
+        }
+        None => StateMachine::default(),
     };
-    group::apply_committed(&mut machine, &stored.durable.entries, stored.committed);
-    // Bounded in bytes where it is filled: nothing is added while the disk is far behind.
-    let (persist, queue) = mpsc::unbounded();
-    let agreement = Node::start(config, stored.durable, clock::now());
-    let control = Rc::new(state(settings, timers.clone(), persist, agreement, machine));
+    group::replay_committed(&mut machine, &stored.durable.entries, stored.committed);
+    // The sender bounds the queued bytes: nothing is queued while the disk is too far behind.
+    let (write_queue, queue) = mpsc::unbounded();
+    let raft_node = Node::start(config, stored.durable, clock::now());
+    let control = Rc::new(state(settings, timers.clone(), write_queue, raft_node, machine));
     let Remembered { endpoints, entries } = remembered::load(&control);
     control.remembered.replace(endpoints);
-    control.entries_told.set(entries);
+    control.reported_entry_count.set(entries);
     let persisted = Rc::clone(&control);
     let durable = move |number| group::step(&persisted, Event::Persisted { number });
-    let theirs = Rc::clone(&control);
-    let written = move |bytes| theirs.unwritten.update(|unwritten| unwritten - bytes);
+    let counted = Rc::clone(&control);
+    let written = move |bytes| counted.unwritten_bytes.update(|unwritten| unwritten - bytes);
     let writing = store.write_forever(timers.clone(), queue, durable, written);
     compio::runtime::spawn(writing).detach();
     let listen = control.settings.cluster_listen;
@@ -131,7 +133,7 @@
         .wrap_err_with(|| format!("failed to listen for endpoints and operators on {listen}"))?;
     let mut servers = vec![server];
     if let Some(listen) = control.settings.operators {
-        let protocol = OwnControl { port: Some(listen.port()) };
+        let protocol = NativeControl { port: Some(listen.port()) };
         let api = Rc::new(Api { control: Rc::clone(&control), protocol });
         let server = http_server::bind(listen, timers, api)
             .wrap_err_with(|| format!("failed to listen for operators on {listen}"))?;
@@ -142,11 +144,11 @@
         task::spawn_until_dropped(peers::keep_peers(Rc::clone(&control))),
         task::spawn_until_dropped(peers::ping_peers(Rc::clone(&control))),
         task::spawn_until_dropped(memory::watch(Rc::clone(&control))),
-        task::spawn_until_dropped(telling::tell_entries(Rc::clone(&control))),
-        task::spawn_until_dropped(telling::tell_loads(Rc::clone(&control))),
+        task::spawn_until_dropped(entry_updates::publish_usage(Rc::clone(&control))),
+        task::spawn_until_dropped(entry_updates::publish_loads(Rc::clone(&control))),
         task::spawn_until_dropped(group::run_timers(Rc::clone(&control))),
         task::spawn_until_dropped(group::maintain(Rc::clone(&control))),
-        task::spawn_until_dropped(remembered::keep(Rc::clone(&control))),
+        task::spawn_until_dropped(remembered::write_changes(Rc::clone(&control))),
         task::spawn_until_dropped(duties::run(Rc::clone(&control), cloud)),
     ];
     Line::new("started")
@@ -160,13 +162,13 @@
     Ok(RunningControl { control, servers, background })
 }
 
-/// The state of a box that has just started, with what its disk says of the agreement.
+/// The state of a box that has just started, with the Raft state from its disk.
 fn state(
     settings: ControlSettings,
     timers: Timers,
-    persist: mpsc::UnboundedSender<Write>,
+    write_queue: mpsc::UnboundedSender<Write>,
     node: Node,
-    machine: Machine,
+    machine: StateMachine,
 ) -> Control {
     let now = clock::now();
     Control {
@@ -174,52 +176,53 @@
         timers,
         turns: Turns::spawn(),
         started: now,
-        persist,
-        unwritten: Cell::new(0),
+        write_queue,
+        unwritten_bytes: Cell::new(0),
         machine: RefCell::new(machine),
         changes: RefCell::default(),
-        tickets: RefCell::default(),
-        pending: RefCell::default(),
-        next_ticket: Cell::new(0),
+        unlogged_proposals: RefCell::default(),
+        pending_proposals: RefCell::default(),
+        next_proposal_id: Cell::new(0),
         registry: RefCell::default(),
-        held: Rc::default(),
-        entries: RefCell::default(),
-        entries_seen: RefCell::default(),
-        entries_told: Cell::new(0),
+        buffered: Rc::default(),
+        entry_links: RefCell::default(),
+        entries_last_seen: RefCell::default(),
+        reported_entry_count: Cell::new(0),
         next_link: Cell::new(0),
         peers: RefCell::default(),
-        joining: RefCell::default(),
-        led_at: Cell::new(now),
-        leads_since: Cell::new(None),
+        join_requests: RefCell::default(),
+        last_leader_at: Cell::new(now),
+        leader_since: Cell::new(None),
         remembered: RefCell::default(),
-        use_ledger: RefCell::default(),
-        parts: RefCell::default(),
+        usage_ledger: RefCell::default(),
+        cached_parts: RefCell::default(),
         quarantine: RefCell::default(),
         limits: RefCell::default(),
         limits_for_peers: RefCell::default(),
-        passed_on: PassedOn::default(),
+        forwarded: ForwardedCounts::default(),
         clock: RefCell::default(),
-        connections: Connections::reset_on_close(),
-        unreadable: Cell::new(0),
+        connections: ConnectionPool::reset_on_close(),
+        unreadable_messages: Cell::new(0),
         stopping: Cell::new(false),
         settings,
     }
 }
 
-/// Who a box with an empty disk is: one of the first group, or a newcomer that joins.
+/// Node id and first members of a box with an empty disk: one of the initial group, or a new node
+/// that joins.
 fn identity(settings: &ControlSettings, boot: u64) -> (NodeId, Members) {
     let own = ipv4(settings.cluster_listen);
     let seeds = settings.seeds.iter().map(|seed| ipv4(*seed));
     if settings.form_group && settings.seeds.iter().any(|seed| ipv4(*seed) == own) {
-        let members = Members::of(seeds.map(|seed| node_id(seed, FIRST_INCARNATION)));
+        let members = Members::with_voters(seeds.map(|seed| node_id(seed, FIRST_INCARNATION)));
         return (node_id(own, FIRST_INCARNATION), members);
     }
-    // Any number that no earlier disk of this box had; the first ones are taken.
+    // A number that no earlier disk of this box had; the low ones are used by the initial group.
     let incarnation = (boot as u32).max(FIRST_INCARNATION + 1);
     (node_id(own, incarnation), Members::default())
 }
 
-/// The settings allow only IPv4 here.
+/// The address as IPv4, the only kind that the settings allow here.
 fn ipv4(address: SocketAddr) -> Ipv4Addr {
     match address.ip() {
         IpAddr::V4(address) => address,
@@ -233,18 +236,18 @@
         &self.control
     }
 
-    /// Where endpoints and operators connect.
+    /// The address at which endpoints and operators connect.
     pub fn listen(&self) -> SocketAddr {
         self.servers[0].address()
     }
 
-    /// Stops as planned: acts for the deployment no more, lets calls finish, then ends.
+    /// Performs a planned stop: stops acting for the deployment, lets calls finish, then ends.
     pub async fn stop(self) {
         let Self { control, servers, background } = self;
         control.stopping.set(true);
         Line::new("stopping").with("role", "control").info();
         servers.into_iter().for_each(HttpServer::finish);
-        control.timers.sleep(FINISH_WITHIN).await;
+        control.timers.sleep(DRAIN_TIMEOUT).await;
         drop(background);
         Line::new("stopped").with("role", "control").info();
     }
--- a/crates/vaneway-server/src/core/endpoints/upstream.rs
+++ b/crates/vaneway-server/src/core/endpoints/upstream.rs
@@ -1,9 +1,9 @@
-//! Connections to endpoints and attempts over them.
+//! Connection pool for endpoints, and attempts at model engines.
 //!
-//! Why: what may be told to a caller depends on exactly how far an attempt got. [`Connections`]
-//! keeps idle connections for each endpoint and reports every failure as an
-//! [`Outcome`]: hyper hands a request back if it never reached the
-//! connection, which is the only case besides a failed connect that counts as not sent.
+//! Why: which error a caller may get depends on exactly how far an attempt got. [`ConnectionPool`]
+//! keeps idle connections to each endpoint and reports every failure as an [`Outcome`]. hyper
+//! returns a request that was never written to the connection; besides a failed connect, this is
+//! the only case that counts as not sent.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -30,9 +30,9 @@
 use vaneway_relay::AttemptEvent;
 use vaneway_relay::Outcome;
 
+use crate::core::endpoints::link::Connection;
+use crate::core::endpoints::link::ConnectionBody;
 use crate::core::endpoints::link::EndpointRequest;
-use crate::core::endpoints::link::Link;
-use crate::core::endpoints::link::LinkBody;
 use crate::core::endpoints::link::SharedBody;
 use crate::core::endpoints::protocol;
 use crate::core::endpoints::protocol::LEAVING_HEADER;
@@ -41,32 +41,32 @@
 use crate::util::socket;
 use crate::util::timers::Timers;
 
-/// Longest wait for a connection to open: far more than a crossing of regions takes. An opening
-/// packet that is lost is sent again only after a second, and another endpoint is asked sooner.
-const CONNECT_WITHIN: Duration = Duration::from_millis(250);
+/// Maximum time to open a connection: far more than a round trip between regions. TCP resends a
+/// lost SYN only after a second, and trying another endpoint is faster.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Silence after which a connection on which something should arrive is given up: above what a
-/// packet that was lost and sent again takes.
-const SILENCE_MOST: Duration = Duration::from_secs(1);
+/// Time without a reply from the peer's operating system after which a connection on which data
+/// should arrive is closed: longer than the loss and retransmission of a packet take.
+const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Most idle connections kept for one endpoint.
-const IDLE_MOST: usize = 64;
+/// Maximum idle connections kept for one endpoint.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// Longest wait for the end of a body after its last event; a connection that takes longer is
-/// not kept.
-const END_WITHIN: Duration = Duration::from_millis(10);
+/// Maximum time to wait for the end of a body after its last event; a connection that takes longer
+/// is not reused.
+const BODY_END_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// Most bytes of an engine's error that are passed on.
-const ERROR_BYTES_MOST: usize = 64 << 10;
+/// Maximum bytes of an engine's error response that are forwarded.
+const MAX_ERROR_BYTES: usize = 64 << 10;
 
-/// Why an attempt ended without an answer.
+/// Why an attempt ended without a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SendError {
-    /// What is known of the attempt.
+    /// What is known about the request's execution.
     pub outcome: Outcome,
-    /// What happened, for the log.
+    /// Description of the error, for the log.
     pub cause: String,
-    /// Whether nothing listens at the endpoint's address.
+    /// Whether the endpoint's address refused the connection, because nothing listens there.
     pub is_down: bool,
 }
 
@@ -78,69 +78,68 @@
 
 impl std::error::Error for SendError {}
 
-/// An answer that has begun.
+/// A response whose head has arrived.
 #[derive(Debug)]
-pub struct Answered {
-    /// The answer. Once its body was read to the end, [`Connections::put`] takes the connection
-    /// back.
-    pub response: Response<LinkBody>,
-    /// Where the attempt stands.
+pub struct StartedResponse {
+    /// The response. After its body has been read to the end, [`ConnectionPool::release`] returns
+    /// the connection to the pool.
+    pub response: Response<ConnectionBody>,
+    /// The state of the attempt.
     pub attempt: Attempt,
 }
 
 /// Idle connections by address.
 #[derive(Debug, Default)]
-pub struct Connections {
-    idle: RefCell<BTreeMap<SocketAddr, Vec<Link>>>,
+pub struct ConnectionPool {
+    idle: RefCell<BTreeMap<SocketAddr, Vec<Connection>>>,
     reset_on_close: bool,
 }
 
-impl Connections {
-    /// Connections that are reset when they are closed, so that what was written and has not
-    /// arrived, for example because the network is cut, never will.
+impl ConnectionPool {
+    /// Creates a pool whose connections are reset when they are closed, so that data that was
+    /// written but has not arrived, for example because of a network partition, never arrives.
     pub fn reset_on_close() -> Self {
         Self { idle: RefCell::default(), reset_on_close: true }
     }
 
-    /// Sends `req` to `addr` and waits for the head of the answer until `head_by`.
+    /// Sends `req` to `addr` and waits for the head of the response until `head_deadline`.
     ///
-    /// With `fresh`, no idle connection is used: the endpoint may be closing it at this moment,
-    /// which would leave the outcome of a call that may not be repeated unknown for no good
-    /// reason.
+    /// With `new_connection`, no idle connection is used: the endpoint may be closing it at this
+    /// moment, which would needlessly leave the outcome of a non-repeatable request unknown.
     ///
     /// # Errors
     ///
-    /// [`SendError`] says whether the endpoint may have run the request.
+    /// [`SendError`], whose outcome says whether the endpoint may have run the request.
     pub async fn send(
         &self,
         timers: &Timers,
         addr: SocketAddr,
         req: EndpointRequest,
-        fresh: bool,
-        head_by: Instant,
-    ) -> Result<Answered, SendError> {
+        new_connection: bool,
+        head_deadline: Instant,
+    ) -> Result<StartedResponse, SendError> {
         let mut req = req;
-        let mut fresh = fresh;
+        let mut new_connection = new_connection;
         loop {
             let mut attempt = Attempt::new();
-            let idle = if fresh { None } else { self.take(addr) };
+            let idle = if new_connection { None } else { self.take_idle(addr) };
             let reused = idle.is_some();
-            let link = match idle {
-                Some(link) => link,
+            let connection = match idle {
+                Some(connection) => connection,
                 None => self.open(timers, addr, &mut attempt).await?,
             };
             attempt.handle(AttemptEvent::Written);
-            let sent = timers.until(head_by, link.send(req)).await;
+            let sent = timers.timeout_at(head_deadline, connection.send(req)).await;
             match sent {
                 Some(Ok(response)) => {
                     attempt.handle(AttemptEvent::Head);
-                    return Ok(Answered { response, attempt });
+                    return Ok(StartedResponse { response, attempt });
                 }
                 Some(Err(mut error)) => match error.take_message() {
-                    // The endpoint closed an idle connection: try once more on a new one.
+                    // The endpoint closed the idle connection: retry on a new one.
                     Some(returned) if reused => {
                         req = returned;
-                        fresh = true;
+                        new_connection = true;
                     }
                     returned => {
                         let event = match returned {
@@ -151,19 +150,19 @@
                     }
                 },
                 None => {
-                    let cause = "no answer within the time allowed";
+                    let cause = "timed out waiting for the response head";
                     return Err(ended(&mut attempt, AttemptEvent::Broken, cause));
                 }
             }
         }
     }
 
-    /// Sends a small request that may be repeated and reads its whole answer, of at most `limit`
-    /// bytes, until `until`.
+    /// Sends a small repeatable request and reads its complete response, with a body of at most
+    /// `limit` bytes, until `until`.
     ///
     /// # Errors
     ///
-    /// [`SendError`] if no whole answer came.
+    /// [`SendError`] if no complete response arrives.
     pub async fn exchange(
         &self,
         timers: &Timers,
@@ -176,11 +175,11 @@
         Ok((head.status, body))
     }
 
-    /// Like [`Connections::exchange`], with the whole head of the answer.
+    /// Like [`ConnectionPool::exchange`], but returns the complete head of the response.
     ///
     /// # Errors
     ///
-    /// As [`Connections::exchange`].
+    /// As [`ConnectionPool::exchange`].
     pub async fn exchange_head(
         &self,
         timers: &Timers,
@@ -189,17 +188,18 @@
         limit: usize,
         until: Instant,
     ) -> Result<(response::Parts, Bytes), SendError> {
-        let Answered { response, mut attempt } = self.send(timers, addr, req, false, until).await?;
+        let StartedResponse { response, mut attempt } =
+            self.send(timers, addr, req, false, until).await?;
         let (head, mut body) = response.into_parts();
-        let mut held = BytesMut::new();
-        let cause = match timers.until(until, body.read_into(&mut held, limit)).await {
+        let mut buffer = BytesMut::new();
+        let cause = match timers.timeout_at(until, body.read_into(&mut buffer, limit)).await {
             Some(Ok(true)) => {
-                self.put(addr, body);
-                return Ok((head, held.freeze()));
+                self.release(addr, body);
+                return Ok((head, buffer.freeze()));
             }
-            Some(Ok(false)) => "the answer is too long".to_owned(),
+            Some(Ok(false)) => "response body exceeds the size limit".to_owned(),
             Some(Err(error)) => error.to_string(),
-            None => "the answer did not end in time".to_owned(),
+            None => "timed out waiting for the end of the response".to_owned(),
         };
         Err(ended(&mut attempt, AttemptEvent::Broken, cause))
     }
@@ -209,13 +209,13 @@
         timers: &Timers,
         addr: SocketAddr,
         attempt: &mut Attempt,
-    ) -> Result<Link, SendError> {
-        let stream = socket::connect_within(timers, addr, CONNECT_WITHIN).await;
+    ) -> Result<Connection, SendError> {
+        let stream = socket::connect_timeout(timers, addr, CONNECT_TIMEOUT).await;
         let stream = stream.map_err(|error| {
             let is_down = error.kind() == ErrorKind::ConnectionRefused;
             SendError { is_down, ..ended(attempt, AttemptEvent::Returned, error) }
         })?;
-        if let Err(error) = stream.fail_when_silent(SILENCE_MOST) {
+        if let Err(error) = stream.set_peer_timeout(PEER_TIMEOUT) {
             return Err(ended(attempt, AttemptEvent::Returned, error));
         }
         if self.reset_on_close
@@ -223,64 +223,73 @@
         {
             return Err(ended(attempt, AttemptEvent::Returned, error));
         }
-        Link::open(stream).await.map_err(|error| ended(attempt, AttemptEvent::Returned, error))
+        Connection::open(stream)
+            .await
+            .map_err(|error| ended(attempt, AttemptEvent::Returned, error))
     }
 
-    fn take(&self, addr: SocketAddr) -> Option<Link> {
+    fn take_idle(&self, addr: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(&addr)?;
-        while let Some(mut link) = links.pop() {
-            if link.is_ready() {
-                return Some(link);
+        let connections = idle.get_mut(&addr)?;
+        while let Some(mut connection) = connections.pop() {
+            if connection.is_ready() {
+                return Some(connection);
             }
         }
         None
     }
 
-    /// Takes a connection back after its answer was read to the end.
-    pub fn put(&self, addr: SocketAddr, body: LinkBody) {
-        let link = body.into_link();
+    /// Returns a connection to the pool after its response has been read to the end.
+    pub fn release(&self, addr: SocketAddr, body: ConnectionBody) {
+        let connection = body.into_connection();
         let mut idle = self.idle.borrow_mut();
-        let links = idle.entry(addr).or_default();
-        if links.len() < IDLE_MOST {
-            links.push(link);
+        let connections = idle.entry(addr).or_default();
+        if connections.len() < MAX_IDLE_CONNECTIONS {
+            connections.push(connection);
         }
     }
 
-    /// Takes a connection back after a refusal, if its body ends soon.
-    pub async fn put_refused(&self, timers: &Timers, addr: SocketAddr, mut body: LinkBody) {
-        let mut held = BytesMut::new();
-        let read = body.read_into(&mut held, ERROR_BYTES_MOST);
-        let read = timers.until(clock::now() + END_WITHIN, read).await;
+    /// Returns a connection to the pool after a refusal, if the refusal's body ends within
+    /// `BODY_END_TIMEOUT`.
+    pub async fn release_refused(
+        &self,
+        timers: &Timers,
+        addr: SocketAddr,
+        mut body: ConnectionBody,
+    ) {
+        let mut buffer = BytesMut::new();
+        let read = body.read_into(&mut buffer, MAX_ERROR_BYTES);
+        let read = timers.timeout_at(clock::now() + BODY_END_TIMEOUT, read).await;
         if matches!(read, Some(Ok(true))) {
-            self.put(addr, body);
+            self.release(addr, body);
         }
     }
 
-    /// How many connections are idle.
+    /// The number of idle connections.
     pub fn idle(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    /// Closes the idle connections to an endpoint that is gone.
-    pub fn forget(&self, addr: SocketAddr) {
+    /// Closes the idle connections to an address, because its endpoint is gone.
+    pub fn close_idle(&self, addr: SocketAddr) {
         self.idle.borrow_mut().remove(&addr);
     }
 }
 
+/// Applies the event that ends an attempt, and returns the resulting error.
 fn ended(attempt: &mut Attempt, event: AttemptEvent, cause: impl fmt::Display) -> SendError {
     let outcome = attempt.handle(event).unwrap_or(Outcome::Unknown);
     SendError { outcome, cause: cause.to_string(), is_down: false }
 }
 
-/// What an attempt at a model engine brings.
+/// An item of the stream of one attempt at a model engine.
 #[derive(Debug)]
-pub enum Item {
+pub enum AttemptItem {
     /// The engine accepted the request.
     Head {
-        /// Requests a second that it takes from all entry boxes together, if it names that.
+        /// The limit that it advertises, if any.
         limit: Result<Option<Rate>, NumberError>,
-        /// Whether it says that it leaves.
+        /// Whether it announces that it is leaving.
         leaving: bool,
     },
     /// One server-sent event.
@@ -290,35 +299,35 @@
         /// The event's data, a chunk.
         data: String,
     },
-    /// The engine answered with an error that another attempt can't mend.
+    /// The engine responded with an error that a retry would not resolve.
     Rejected {
-        /// The answer's status.
+        /// The response's status.
         status: StatusCode,
-        /// The answer's body.
+        /// The response's body.
         body: Bytes,
     },
     /// The engine did not run the request.
     Refused {
-        /// The answer's status.
+        /// The response's status.
         status: StatusCode,
-        /// The answer's headers.
+        /// The response's headers.
         headers: HeaderMap,
-        /// What happened, for the log.
+        /// Description of the refusal, for the log.
         cause: String,
     },
     /// The attempt ended.
     Ended {
-        /// What is known of it.
+        /// What is known about the request's execution.
         outcome: Outcome,
-        /// What happened, for the log.
+        /// Description of the error, for the log; empty if the attempt is complete.
         cause: String,
     },
 }
 
-/// What [`model_attempt`] needs.
+/// Parameters of [`model_attempt`].
 #[derive(Debug)]
 pub struct ModelAttempt<C> {
-    /// The connections to use.
+    /// The connection pool.
     pub connections: C,
     /// The timer service.
     pub timers: Timers,
@@ -326,12 +335,12 @@
     pub addr: SocketAddr,
     /// The request.
     pub req: EndpointRequest,
-    /// Whether to open a new connection.
-    pub fresh: bool,
-    /// Longest silence before the attempt counts as broken.
-    pub stall: Duration,
-    /// When the first sign of an answer must be there.
-    pub head_by: Instant,
+    /// Whether to open a new connection instead of using an idle one.
+    pub new_connection: bool,
+    /// Maximum time between two events before the attempt counts as broken.
+    pub stall_timeout: Duration,
+    /// Deadline for the head of the response.
+    pub head_deadline: Instant,
 }
 
 type Events = EventStream<SharedBody>;
@@ -346,21 +355,21 @@
     connections: C,
     timers: Timers,
     addr: SocketAddr,
-    stall: Duration,
+    stall_timeout: Duration,
     body: SharedBody,
     attempt: Attempt,
     events: Events,
 }
 
-/// One attempt at a model engine, as a stream of what it brings. Dropping it closes the
-/// connection unless the answer was read to the end.
-pub fn model_attempt<C>(attempt: ModelAttempt<C>) -> impl Stream<Item = Item>
+/// Runs one attempt at a model engine and returns the stream of its items. Dropping the stream
+/// closes the connection unless the response was read to the end.
+pub fn model_attempt<C>(attempt: ModelAttempt<C>) -> impl Stream<Item = AttemptItem>
 where
-    C: std::ops::Deref<Target = Connections>,
+    C: std::ops::Deref<Target = ConnectionPool>,
 {
     unfold(Stage::Sending(Box::new(attempt)), |stage| async move {
         match stage {
-            // Boxed, so that its memory is free while the answer is read.
+            // Boxed, so that its memory is freed before the response body is read.
             Stage::Sending(attempt) => Some(Box::pin(start(*attempt)).await),
             Stage::Reading(reading) => Some(next_event(reading).await),
             Stage::Over => None,
@@ -368,89 +377,98 @@
     })
 }
 
-async fn start<C>(attempt: ModelAttempt<C>) -> (Item, Stage<C>)
+async fn start<C>(attempt: ModelAttempt<C>) -> (AttemptItem, Stage<C>)
 where
-    C: std::ops::Deref<Target = Connections>,
+    C: std::ops::Deref<Target = ConnectionPool>,
 {
-    let ModelAttempt { connections, timers, addr, req, fresh, stall, head_by } = attempt;
-    let sent = connections.send(&timers, addr, req, fresh, head_by).await;
-    let answered = match sent {
-        Ok(answered) => answered,
+    let ModelAttempt {
+        connections,
+        timers,
+        addr,
+        req,
+        new_connection,
+        stall_timeout,
+        head_deadline,
+    } = attempt;
+    let sent = connections.send(&timers, addr, req, new_connection, head_deadline).await;
+    let started = match sent {
+        Ok(started) => started,
         Err(SendError { outcome, cause, .. }) => {
-            return (Item::Ended { outcome, cause }, Stage::Over);
+            return (AttemptItem::Ended { outcome, cause }, Stage::Over);
         }
     };
-    let Answered { response, mut attempt } = answered;
+    let StartedResponse { response, mut attempt } = started;
     let status = response.status();
-    let limit = protocol::read_limit(response.headers(), &LIMIT_HEADER);
-    let leaving = protocol::read_mark(response.headers(), &LEAVING_HEADER);
+    let limit = protocol::parse_limit(response.headers(), &LIMIT_HEADER);
+    let leaving = protocol::has_flag(response.headers(), &LEAVING_HEADER);
     let (head, mut body) = response.into_parts();
     if status == StatusCode::OK {
         let body = SharedBody::new(body);
         let events = body.clone().eventsource();
-        let reading = Reading { connections, timers, addr, stall, body, attempt, events };
-        return (Item::Head { limit, leaving }, Stage::Reading(Box::new(reading)));
+        let reading = Reading { connections, timers, addr, stall_timeout, body, attempt, events };
+        return (AttemptItem::Head { limit, leaving }, Stage::Reading(Box::new(reading)));
     }
-    let mut held = BytesMut::new();
-    let read = body.read_into(&mut held, ERROR_BYTES_MOST);
-    if let Some(Ok(true)) = timers.until(clock::now() + stall, read).await {
-        connections.put(addr, body);
+    let mut buffer = BytesMut::new();
+    let read = body.read_into(&mut buffer, MAX_ERROR_BYTES);
+    if let Some(Ok(true)) = timers.timeout_at(clock::now() + stall_timeout, read).await {
+        connections.release(addr, body);
     }
-    (engine_error(&mut attempt, head, held.freeze()), Stage::Over)
+    (engine_error(&mut attempt, head, buffer.freeze()), Stage::Over)
 }
 
-/// What an engine's error means, by the engine protocol of docs/INTERFACES.md: overload, a lost
-/// state and a stopping engine are refusals; a fault in the engine leaves the outcome unknown;
-/// everything else is an answer to the request itself.
-fn engine_error(attempt: &mut Attempt, head: response::Parts, body: Bytes) -> Item {
+/// Classifies an engine's error response by the engine protocol of docs/INTERFACES.md. Overload, a
+/// lost state and a stopping engine are refusals; an engine fault leaves the outcome unknown; any
+/// other error is the response to the request itself.
+fn engine_error(attempt: &mut Attempt, head: response::Parts, body: Bytes) -> AttemptItem {
     let response::Parts { status, headers, .. } = head;
-    let cause = format!("the engine answered {}", status.as_u16());
+    let cause = format!("engine responded with status {}", status.as_u16());
     match status {
         StatusCode::CONFLICT | StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-            Item::Refused { status, headers, cause }
+            AttemptItem::Refused { status, headers, cause }
         }
-        _ if status.is_client_error() => Item::Rejected { status, body },
+        _ if status.is_client_error() => AttemptItem::Rejected { status, body },
         _ => {
             let SendError { outcome, cause, .. } = ended(attempt, AttemptEvent::Broken, cause);
-            Item::Ended { outcome, cause }
+            AttemptItem::Ended { outcome, cause }
         }
     }
 }
 
-async fn next_event<C>(mut reading: Box<Reading<C>>) -> (Item, Stage<C>)
+async fn next_event<C>(mut reading: Box<Reading<C>>) -> (AttemptItem, Stage<C>)
 where
-    C: std::ops::Deref<Target = Connections>,
+    C: std::ops::Deref<Target = ConnectionPool>,
 {
-    let until = clock::now() + reading.stall;
-    let broken = match reading.timers.until(until, reading.events.next()).await {
+    let until = clock::now() + reading.stall_timeout;
+    let broken = match reading.timers.timeout_at(until, reading.events.next()).await {
         Some(Some(Ok(event))) if event.data == "[DONE]" => {
             return (finish(*reading).await, Stage::Over);
         }
         Some(Some(Ok(event))) => {
-            let item = Item::Data { id: event.id, data: event.data };
+            let item = AttemptItem::Data { id: event.id, data: event.data };
             return (item, Stage::Reading(reading));
         }
         Some(Some(Err(error))) => error.to_string(),
-        Some(None) => "the stream ended before its last event".to_owned(),
-        None => "the engine was silent for too long".to_owned(),
+        Some(None) => "event stream ended before its last event".to_owned(),
+        None => "no event from the engine within the stall timeout".to_owned(),
     };
     let SendError { outcome, cause, .. } =
         ended(&mut reading.attempt, AttemptEvent::Broken, broken);
-    (Item::Ended { outcome, cause }, Stage::Over)
+    (AttemptItem::Ended { outcome, cause }, Stage::Over)
 }
 
-/// Ends an attempt whose last event arrived. The connection is kept only if the body ends there.
-async fn finish<C>(reading: Reading<C>) -> Item
+/// Ends an attempt whose last event has arrived. The connection is reused only if the body ends
+/// within `BODY_END_TIMEOUT`.
+async fn finish<C>(reading: Reading<C>) -> AttemptItem
 where
-    C: std::ops::Deref<Target = Connections>,
+    C: std::ops::Deref<Target = ConnectionPool>,
 {
     let Reading { connections, timers, addr, body, mut attempt, mut events, .. } = reading;
     let outcome = attempt.handle(AttemptEvent::End).unwrap_or(Outcome::Done);
-    let soon = clock::now() + END_WITHIN;
-    let ended = timers.until(soon, events.next()).await;
+    let until = clock::now() + BODY_END_TIMEOUT;
+    let ended = timers.timeout_at(until, events.next()).await;
     drop(events);
     if let (Some(None), Some(body)) = (ended, body.into_body()) {
-        connections.put(addr, body);
+        connections.release(addr, body);
     }
-    Item::Ended { outcome, cause: String::new() }
+    AttemptItem::Ended { outcome, cause: String::new() }
 }
--- a/crates/vaneway-server/src/core/occupancy.rs
+++ b/crates/vaneway-server/src/core/occupancy.rs
@@ -1,4 +1,4 @@
-//! What an attempt takes up at its endpoint, and what is seen of its run there.
+//! Load that an attempt causes at its endpoint, and measurement of its run there.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -9,96 +9,97 @@
 use crate::core::entry::Entry;
 use crate::util::clock;
 
-/// Counts an attempt at an endpoint until it is dropped.
+/// Accounts for an attempt at an endpoint until dropped.
 #[derive(Debug)]
 pub struct Occupancy {
     entry: Rc<Entry>,
     endpoint: EndpointId,
-    /// Tokens of work that has not begun.
+    /// Tokens of outstanding work; 0 once the response has started.
     tokens: u64,
-    /// Whether its answer arrives piece by piece.
-    arriving: bool,
-    /// What is seen of its run, if it is one of an engine.
-    run: Option<WatchedRun>,
+    /// Whether the first chunk of the response has arrived.
+    responding: bool,
+    /// Measurement of its run, if the endpoint is an engine.
+    run: Option<RunTracker>,
 }
 
-/// A run at an engine while it is watched.
+/// Measurement of a run at an engine.
 #[derive(Debug)]
-struct WatchedRun {
+struct RunTracker {
     service: String,
-    unread: u64,
+    uncached_tokens: u64,
     sent: Instant,
     first: Option<Instant>,
     last: Option<Instant>,
-    pauses: u32,
-    whole: bool,
+    gaps: u32,
+    completed: bool,
 }
 
-impl WatchedRun {
-    fn heard(&mut self, now: Instant) {
+impl RunTracker {
+    fn record_chunk(&mut self, now: Instant) {
         if self.first.is_some() {
-            self.pauses += 1;
+            self.gaps += 1;
         }
         self.first.get_or_insert(now);
         self.last = Some(now);
     }
 
-    /// What was seen of it, if anything came.
-    fn seen(&self) -> Option<Run> {
+    /// The measured run, if any chunk of the response arrived.
+    fn measured(&self) -> Option<Run> {
         let (first, last) = (self.first?, self.last?);
         Some(Run {
-            unread: self.unread,
-            first_after: first - self.sent,
-            pauses: self.pauses,
-            generating: last - first,
-            whole: self.whole,
+            uncached_tokens: self.uncached_tokens,
+            time_to_first_event: first - self.sent,
+            gaps: self.gaps,
+            generation_time: last - first,
+            completed: self.completed,
         })
     }
 }
 
 impl Occupancy {
-    /// An attempt that begins, with `tokens` of work.
+    /// An attempt that starts, with `tokens` of work.
     pub(super) fn new(entry: Rc<Entry>, endpoint: EndpointId, tokens: u64) -> Self {
-        Self { entry, endpoint, tokens, arriving: false, run: None }
+        Self { entry, endpoint, tokens, responding: false, run: None }
     }
 
-    /// Watches it as a run of an engine of `service` with a prompt of `prompt` tokens.
-    pub fn watch(&mut self, service: &str, prompt: u64) {
-        self.entry.used.borrow_mut().begin_run(service, prompt, self.tokens);
-        self.run = Some(WatchedRun {
+    /// Starts measuring it as a run at an engine of `service`, with a prompt of `prompt` tokens.
+    pub fn track_run(&mut self, service: &str, prompt: u64) {
+        self.entry.usage.borrow_mut().begin_run(service, prompt, self.tokens);
+        self.run = Some(RunTracker {
             service: service.to_owned(),
-            unread: self.tokens,
+            uncached_tokens: self.tokens,
             sent: clock::now(),
             first: None,
             last: None,
-            pauses: 0,
-            whole: false,
+            gaps: 0,
+            completed: false,
         });
     }
 
-    /// Notes that the answer came to its end.
-    pub fn ended(&mut self) {
+    /// Records that the response is complete.
+    pub fn mark_complete(&mut self) {
         if let Some(run) = &mut self.run {
-            run.whole = true;
+            run.completed = true;
         }
     }
 
-    /// Whether a piece of the answer has arrived.
-    pub fn is_arriving(&self) -> bool {
-        self.arriving
+    /// Whether the first chunk of the response has arrived.
+    pub fn is_responding(&self) -> bool {
+        self.responding
     }
 
-    /// Counts that a piece of the answer arrived, and with the first that the work has begun.
-    pub fn heard(&mut self) {
+    /// Records that a chunk of the response arrived. The first one shows that the endpoint has
+    /// begun the work.
+    pub fn record_chunk(&mut self) {
         let now = clock::now();
         if let Some(run) = &mut self.run {
-            run.heard(now);
+            run.record_chunk(now);
         }
         let mut pool = self.entry.pool.borrow_mut();
-        if std::mem::replace(&mut self.arriving, true) {
-            pool.heard(now, self.endpoint);
+        if std::mem::replace(&mut self.responding, true) {
+            pool.record_progress(now, self.endpoint);
         } else {
-            pool.begun(now, self.endpoint, std::mem::take(&mut self.tokens));
+            pool.begin_response(now, self.endpoint, std::mem::take(&mut self.tokens));
         }
     }
 }
@@ -106,10 +107,10 @@
 impl Drop for Occupancy {
     fn drop(&mut self) {
         if let Some(run) = &self.run
-            && let Some(seen) = run.seen()
+            && let Some(measured) = run.measured()
         {
-            self.entry.used.borrow_mut().observe_run(&run.service, &seen);
+            self.entry.usage.borrow_mut().observe_run(&run.service, &measured);
         }
-        self.entry.pool.borrow_mut().end(self.endpoint, self.tokens, self.arriving);
+        self.entry.pool.borrow_mut().end_attempt(self.endpoint, self.tokens, self.responding);
     }
 }
--- a/crates/vaneway-server/src/core/quarantine.rs
+++ b/crates/vaneway-server/src/core/quarantine.rs
@@ -1,9 +1,10 @@
-//! Requests under which endpoints end, as this entry box treats them.
+//! Requests that crash endpoints, as one entry box handles them.
 //!
-//! Data flow: an attempt that breaks off asks whether its endpoint has ended ([`endpoint_has_ended`]). If so, the
-//! call counts it against its request ([`endpoint_ended`]) and ends there if the request is condemned. What is
-//! answered with success is cleared ([`request_served`]), and a request that is condemned is refused wherever it is sent
-//! again ([`check`]). What is found is told to the other boxes, and what they found is learned ([`learn`]).
+//! Data flow: an attempt that breaks off determines whether its endpoint has exited
+//! ([`endpoint_has_exited`]). If so, the crash is recorded against the request ([`record_crash`]),
+//! which is not retried if that condemns it. A request that is answered successfully is cleared
+//! ([`clear_request`]); a condemned one is refused whenever it is sent again ([`check`]).
+//! Quarantine records are sent to the other boxes, and theirs are merged here ([`merge`]).
 
 use std::collections::BTreeSet;
 use std::future::poll_fn;
@@ -12,12 +13,12 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use vaneway_quarantine::Finding;
 use vaneway_quarantine::Fingerprint;
 use vaneway_quarantine::Incarnation;
 use vaneway_quarantine::Progress;
+use vaneway_quarantine::QuarantineRecord;
 use vaneway_quarantine::Verdict;
-use vaneway_registry::Born;
+use vaneway_registry::StartMillis;
 use vaneway_relay::Event;
 use vaneway_relay::FailureKind;
 use vaneway_route::EndpointId;
@@ -31,34 +32,38 @@
 use crate::util::logline::Line;
 use crate::util::socket;
 
-/// How long an attempt that broke off waits to learn whether its endpoint has ended: several round trips between
-/// availability zones. Without an answer it counts as reached no more, which is no evidence.
-const CONFIRM_WITHIN: Duration = Duration::from_millis(50);
+/// Timeout for a connection that probes whether an endpoint has exited: several round trips between
+/// availability zones. An endpoint that doesn't answer counts as unreachable, which is no evidence
+/// of an exit.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Connections that are opened to learn it: an endpoint that has too many resets them too, and must not get many more.
-const CONFIRM_TRIES: usize = 3;
+/// Number of probe connections. An endpoint that has too many connections resets new ones too, and
+/// must not get many more.
+const PROBE_COUNT: usize = 3;
 
-/// Pause between two of them.
-const CONFIRM_PAUSE: Duration = Duration::from_millis(5);
+/// Pause between two probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long a connection that opens must last for its endpoint to count as alive: the system of a process that dies closes
-/// its connections and its listening socket one after another.
-const LASTS: Duration = Duration::from_millis(20);
+/// How long a probe connection must stay open for its endpoint to count as alive: when a process
+/// dies, its operating system closes its connections and its listening socket one after another.
+const MIN_CONNECTION_AGE: Duration = Duration::from_millis(20);
 
-/// What makes a request the same when its caller sends it again, under another id and to any box: who sent it, where
-/// to, and its body. Nobody can get another organisation's request condemned.
+/// Identifies a request by its content, so that it is recognised when its caller sends it again,
+/// under another id and to any box: by its organisation, its destination and its body. With the
+/// organisation included, nobody can get another organisation's request condemned.
 ///
-/// Left out is what a copy may come with anew: the service, since a route may be split or move, and what the caller says
-/// of the prompt, which follows from the body.
+/// Excluded is what may differ when the request is sent again: the service, since a route may be
+/// split or moved, and the caller's hints on the prompt, which follows from the body.
 pub fn fingerprint(request: &CallRequest) -> Fingerprint {
     let method = request.method.as_str();
     let CallRequest { organisation, addressed_to, path, body, .. } = request;
     hash::of((organisation, addressed_to, method, path, body))
 }
 
-/// Whether an endpoint has ended and not by plan: nothing listens at its address, and it had not said that it leaves.
-/// What speaks against it is logged, since nothing is held then against the request that it ran.
-pub async fn endpoint_has_ended(
+/// Whether an endpoint has exited unplanned: nothing listens at its address, and it had not
+/// announced that it leaves. If not, the reason is logged, since nothing is recorded against the
+/// request that it ran.
+pub async fn endpoint_has_exited(
     entry: &Entry,
     request: &CallRequest,
     endpoint: EndpointId,
@@ -68,7 +73,7 @@
         let endpoint = pool.get(endpoint);
         (endpoint.spec.name.clone(), endpoint.spec.address, endpoint.state)
     };
-    let Some(why) = why_not_ended(entry, address, state).await else { return true };
+    let Some(why) = reason_not_exited(entry, address, state).await else { return true };
     Line::new("endpoint_end_not_confirmed")
         .with("request", &request.id)
         .with("replica", name)
@@ -77,102 +82,112 @@
     false
 }
 
-/// Why an endpoint at which a connection broke has not ended, as far as can be seen; none if it has.
-async fn why_not_ended(
+/// The reason why an endpoint whose connection broke is taken not to have exited; none if it has.
+async fn reason_not_exited(
     entry: &Entry,
     address: SocketAddr,
     state: EndpointState,
 ) -> Option<&'static str> {
     if matches!(state, EndpointState::Leaving | EndpointState::Gone) {
-        return Some("it had said that it leaves");
+        return Some("it had announced that it leaves");
     }
-    for _ in 0..CONFIRM_TRIES {
-        let stream = match socket::connect_within(&entry.timers, address, CONFIRM_WITHIN).await {
+    for _ in 0..PROBE_COUNT {
+        let stream = match socket::connect_timeout(&entry.timers, address, PROBE_TIMEOUT).await {
             Ok(stream) => stream,
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => return None,
-            Err(_) => return Some("its address can't be reached"),
+            Err(_) => return Some("its address is unreachable"),
         };
-        // Nothing was asked of it, so whatever comes is its end.
-        let ends = poll_fn(|cx| stream.poll_recv_ready(cx));
-        if entry.timers.until(clock::now() + LASTS, ends).await.is_none() {
-            return Some("it takes connections");
+        // No request was sent, so anything that can be read means that the peer closed the
+        // connection.
+        let closed = poll_fn(|cx| stream.poll_recv_ready(cx));
+        if entry.timers.timeout_at(clock::now() + MIN_CONNECTION_AGE, closed).await.is_none() {
+            return Some("it accepts connections");
         }
-        entry.timers.sleep(CONFIRM_PAUSE).await;
+        entry.timers.sleep(PROBE_INTERVAL).await;
     }
-    Some("it ends new connections at once")
+    Some("it closes new connections at once")
 }
 
-/// When an endpoint that runs now was born, as this box knows it.
-pub fn born(entry: &Entry, endpoint: EndpointId) -> Born {
+/// The start time of the incarnation of an endpoint that is running now, as this box knows it.
+pub fn born(entry: &Entry, endpoint: EndpointId) -> StartMillis {
     entry.registry.borrow().born(&entry.pool.borrow().get(endpoint).spec.name)
 }
 
-/// Gives an endpoint that has ended no more work for a while, and tells the other boxes.
+/// Stops sending requests to an endpoint that has exited, for a while, and reports the exit to the
+/// other boxes.
 ///
-/// Of many boxes each would find it for itself, at the cost of a request's time, of an arrival at another endpoint and
-/// of the budget of retries: 900 times after two waves of 23 crashes of 60 endpoints under 69 boxes, as simulated.
-pub fn found_ended(entry: &Entry, endpoint: EndpointId, ended: &Incarnation) {
-    if !entry.registered.borrow().contains_key(ended.name()) {
-        // One that the settings name starts again as the same endpoint, without anyone saying so.
+/// Otherwise each box would have to detect the exit by itself, at the cost of a request's time, of
+/// an additional request at another endpoint and of retry budget: 900 times in a simulation with 69
+/// boxes and two waves of 23 crashes among 60 endpoints.
+pub fn record_exit(entry: &Entry, endpoint: EndpointId, incarnation: &Incarnation) {
+    if !entry.registered.borrow().contains_key(incarnation.name()) {
+        // An endpoint that is listed in the settings restarts as the same endpoint, without any
+        // report of it.
         return;
     }
     let now = entry.cluster_time();
-    entry.quarantine.borrow_mut().found_ended(now, ended);
-    entry.change(|pool, now, out| pool.ended(now, endpoint, out));
+    entry.quarantine.borrow_mut().record_exit(now, incarnation);
+    entry.update_pool(|pool, now, out| pool.record_exit(now, endpoint, out));
 }
 
-/// Counts that an endpoint ended under a request, the last of `ends`; the others ended under it before.
-pub fn endpoint_ended(
+/// Records against a request that an endpoint crashed while running it: the last of `crashes`; the
+/// others crashed while running it before.
+pub fn record_crash(
     entry: &Entry,
     request: &CallRequest,
-    ends: &[(Incarnation, Progress)],
+    crashes: &[(Incarnation, Progress)],
 ) -> Verdict {
     let fingerprint = fingerprint(request);
     let now = entry.cluster_time();
-    let verdict = entry.quarantine.borrow_mut().endpoint_ended(now, fingerprint, ends);
+    let verdict = entry.quarantine.borrow_mut().record_crash(now, fingerprint, crashes);
     entry.metrics.quarantine.with_label_values(&[&request.service_name, verdict.name()]).inc();
     Line::new("endpoint_ended_under_request")
         .with("request", &request.id)
         .with("fingerprint", format!("{fingerprint:016x}"))
         .with("organisation", &request.organisation)
         .with("service", &request.service_name)
-        .with("replica", ends.last().map_or_else(String::new, |(endpoint, _)| endpoint.to_string()))
-        .with("progress", ends.last().map_or("", |(_, progress)| progress.name()))
+        .with(
+            "replica",
+            crashes.last().map_or_else(String::new, |(endpoint, _)| endpoint.to_string()),
+        )
+        .with("progress", crashes.last().map_or("", |(_, progress)| progress.name()))
         .with("verdict", verdict.name())
-        .with("ended_here", ends.len())
-        .with("ended_in_all", known_ends(entry, fingerprint))
+        .with("ended_here", crashes.len())
+        .with("ended_in_all", crash_count(entry, fingerprint))
         .warn();
     verdict
 }
 
-fn known_ends(entry: &Entry, fingerprint: Fingerprint) -> usize {
+fn crash_count(entry: &Entry, fingerprint: Fingerprint) -> usize {
     let quarantine = entry.quarantine.borrow();
-    quarantine.cases().get(&fingerprint).map_or(0, |case| case.ends.len())
+    quarantine.cases().get(&fingerprint).map_or(0, |case| case.crashes.len())
 }
 
-/// Clears a request that was answered whole and with success, if anything was held against it.
-pub fn request_served(entry: &Entry, request: &CallRequest) {
+/// Clears a request that was answered completely and successfully, if anything was recorded against
+/// it.
+pub fn clear_request(entry: &Entry, request: &CallRequest) {
     if entry.quarantine.borrow().is_empty() {
         return;
     }
     let fingerprint = fingerprint(request);
     let now = entry.cluster_time();
-    let ends = known_ends(entry, fingerprint);
-    if entry.quarantine.borrow_mut().served(now, fingerprint) {
+    let crashes = crash_count(entry, fingerprint);
+    if entry.quarantine.borrow_mut().clear(now, fingerprint) {
         let cleared = Verdict::Cleared.name();
         entry.metrics.quarantine.with_label_values(&[&request.service_name, cleared]).inc();
         Line::new("request_cleared")
             .with("request", &request.id)
             .with("fingerprint", format!("{fingerprint:016x}"))
-            .with("ended_in_all", ends)
+            .with("ended_in_all", crashes)
             .info();
     }
 }
 
-/// Clears a request at an operator's word, here and at all other boxes; whether anything was held against it.
+/// Clears a request for an operator, here and at all other boxes; returns whether anything was
+/// recorded against it.
 pub fn release(entry: &Entry, fingerprint: Fingerprint) -> bool {
     let now = entry.cluster_time();
-    let released = entry.quarantine.borrow_mut().served(now, fingerprint);
+    let released = entry.quarantine.borrow_mut().clear(now, fingerprint);
     Line::new("request_released")
         .with("fingerprint", format!("{fingerprint:016x}"))
         .with("was_held", released)
@@ -182,27 +197,28 @@
 
 /// Where a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Placing {
+pub enum Placement {
     /// At any endpoint.
     Anywhere,
-    /// Apart from others, by its fingerprint: an endpoint ended under it.
-    Apart(Fingerprint),
-    /// At none: it is condemned.
-    Nowhere,
+    /// Apart from other suspected requests, as chosen by its fingerprint: an endpoint crashed while
+    /// running it.
+    Isolated(Fingerprint),
+    /// At no endpoint: it is condemned.
+    Forbidden,
 }
 
-/// Where a request may run; `ended_here` if an endpoint ended under it at this box.
-pub fn placing(entry: &Entry, request: &CallRequest, ended_here: bool) -> Placing {
+/// Where a request may run; `ended_here` if an endpoint crashed while running it for this box.
+pub fn placement(entry: &Entry, request: &CallRequest, ended_here: bool) -> Placement {
     let quarantine = entry.quarantine.borrow();
     if quarantine.is_empty() {
-        return Placing::Anywhere;
+        return Placement::Anywhere;
     }
     let fingerprint = fingerprint(request);
     match quarantine.verdict(fingerprint) {
-        Some(Verdict::Condemned) => Placing::Nowhere,
-        Some(Verdict::Suspected) => Placing::Apart(fingerprint),
-        _ if ended_here => Placing::Apart(fingerprint),
-        _ => Placing::Anywhere,
+        Some(Verdict::Condemned) => Placement::Forbidden,
+        Some(Verdict::Suspected) => Placement::Isolated(fingerprint),
+        _ if ended_here => Placement::Isolated(fingerprint),
+        _ => Placement::Anywhere,
     }
 }
 
@@ -210,59 +226,62 @@
 ///
 /// # Errors
 ///
-/// If it is.
+/// Fails if the request is condemned.
 pub fn check(entry: &Entry, request: &CallRequest) -> Result<(), ApiError> {
-    if placing(entry, request, false) != Placing::Nowhere {
+    if placement(entry, request, false) != Placement::Forbidden {
         return Ok(());
     }
     let fingerprint = fingerprint(request);
     let quarantine = entry.quarantine.borrow();
-    let ends = quarantine.cases().get(&fingerprint).map_or(0, |case| case.ends.len());
+    let crashes = quarantine.cases().get(&fingerprint).map_or(0, |case| case.crashes.len());
     let message = format!(
-        "{ends} endpoints that ran this request ended under it, so it is run no more; send it in another form, or \
-         ask an operator to release {fingerprint:016x}"
+        "{crashes} endpoints crashed while running this request, so it is not run again; change \
+         it, or ask an operator to release {fingerprint:016x}"
     );
-    let code = FailureKind::EndsEndpoints.code();
+    let code = FailureKind::CrashesEndpoints.code();
     Err(ApiError::rejected(StatusCode::UNPROCESSABLE_ENTITY, code, message))
 }
 
-/// Learns what other boxes found. What runs here and is condemned now is taken back before its endpoint ends too.
-pub fn learn(entry: &Entry, findings: &[Finding]) {
+/// Merges quarantine records of other boxes. Running requests that are condemned now are cancelled
+/// before they crash further endpoints.
+pub fn merge(entry: &Entry, records: &[QuarantineRecord]) {
     let now = entry.cluster_time();
-    let news = entry.quarantine.borrow_mut().merge(now, findings);
-    let changed = |finding: &Finding| match finding {
-        Finding::Case { fingerprint, .. } => Some(*fingerprint),
-        Finding::EndpointEnded { .. } => None,
+    let updates = entry.quarantine.borrow_mut().merge(now, records);
+    let changed = |record: &QuarantineRecord| match record {
+        QuarantineRecord::Case { fingerprint, .. } => Some(*fingerprint),
+        QuarantineRecord::EndpointExited { .. } => None,
     };
     let is_condemned = |fingerprint: &Fingerprint| {
         entry.quarantine.borrow().verdict(*fingerprint) == Some(Verdict::Condemned)
     };
     let condemned: BTreeSet<Fingerprint> =
-        news.iter().filter_map(changed).filter(is_condemned).collect();
+        updates.iter().filter_map(changed).filter(is_condemned).collect();
     if !condemned.is_empty() {
-        entry.open.signal_calls(&Event::Condemned, |call| condemned.contains(&fingerprint(call)));
+        entry
+            .open
+            .send_to_matching(&Event::Condemned, |call| condemned.contains(&fingerprint(call)));
     }
-    for finding in news {
-        match finding {
-            Finding::Case { fingerprint, case } => Line::new("request_case_told")
+    for record in updates {
+        match record {
+            QuarantineRecord::Case { fingerprint, case } => Line::new("request_case_told")
                 .with("fingerprint", format!("{fingerprint:016x}"))
                 .with("verdict", case.verdict.name())
-                .with("ended", case.ends.len())
+                .with("ended", case.crashes.len())
                 .info(),
-            Finding::EndpointEnded { endpoint, .. } => learn_ended(entry, &endpoint),
+            QuarantineRecord::EndpointExited { endpoint, .. } => merge_exit(entry, &endpoint),
         }
     }
 }
 
-fn learn_ended(entry: &Entry, ended: &Incarnation) {
-    let born = entry.registry.borrow().born(ended.name());
-    let has_started_again = ended.born() > 0 && born > ended.born();
-    if has_started_again {
+fn merge_exit(entry: &Entry, incarnation: &Incarnation) {
+    let born = entry.registry.borrow().born(incarnation.name());
+    let has_restarted = incarnation.born() > 0 && born > incarnation.born();
+    if has_restarted {
         return;
     }
-    let endpoint = entry.registered.borrow().get(ended.name()).copied();
+    let endpoint = entry.registered.borrow().get(incarnation.name()).copied();
     if let Some(endpoint) = endpoint {
-        Line::new("endpoint_ended_told").with("replica", ended).info();
-        entry.change(|pool, now, out| pool.ended(now, endpoint, out));
+        Line::new("endpoint_ended_told").with("replica", incarnation).info();
+        entry.update_pool(|pool, now, out| pool.record_exit(now, endpoint, out));
     }
 }
--- a/crates/vaneway-test-support/src/lib.rs
+++ b/crates/vaneway-test-support/src/lib.rs
@@ -1,9 +1,9 @@
 //! Stand-in endpoints, platform and fault-injecting proxy for the tests and benchmarks.
 //!
-//! Every stand-in runs in a thread of its own with its own event loop, speaks HTTP on an
-//! ephemeral loopback port as docs/INTERFACES.md describes, and is deterministic by its seed.
-//! [`Deployment`] is the short language in which tests describe their setup: stand-ins, a settings file
-//! and real `vaneway` processes.
+//! Every stand-in runs in a thread of its own with its own event loop, serves HTTP on an ephemeral
+//! loopback port as docs/INTERFACES.md describes, and is deterministic for a given seed.
+//! [`Deployment`] is the builder with which tests describe their setup: stand-ins, a settings
+//! file and real `vaneway` processes.
 
 pub mod caller;
 pub mod closed_port;
@@ -38,12 +38,12 @@
 pub use engine::Engine;
 pub use engine::EngineOptions;
 pub use fleet::Fleet;
-pub use naming_control_box::NamingControlBox;
+pub use naming_control_box::AdvertisingControlBox;
 pub use plain_service::PlainService;
 pub use platform::CloudPlatform;
 pub use process::Process;
 pub use proxy::Proxy;
-pub use several::Several;
+pub use several::EntryGroup;
 pub use slow_readers::SlowReaders;
 pub use throttle::Throttle;
 pub use weight_store::WeightStore;
