--- a/tests/testsuite/quota.rs
+++ b/tests/testsuite/quota.rs
@@ -191,8 +191,8 @@
     let now = boxes.now;
     let levels: Vec<f64> = boxes.quotas.iter().map(|quota| quota.level(now)).collect();
     let used: u64 = boxes.quotas[0].own_usage_since(0).map(|(_, units)| units).sum();
-    // The first box has lost the second one's usage from before its restart; in 1 s the bucket refilled
-    // by 1,000.
+    // The first box has lost the second one's usage from before its restart; in 1 s the bucket
+    // refilled by 1,000.
     assert!(used > 1_000, "{used}");
     assert!(levels[1] <= LIMIT.burst + LIMIT.rate - used as f64, "{levels:?}, {used} used");
 }
--- a/tests/testsuite/quota_fleet.rs
+++ b/tests/testsuite/quota_fleet.rs
@@ -1,7 +1,7 @@
-//! Quotas in a fleet of entry boxes that a control box informs of each other's usage, under load that
-//! arrives at any box.
+//! Quotas in a fleet of entry boxes that a control box informs of each other's usage, under load
+//! that arrives at any box.
 //!
-//! The incident behind these tests is described in docs/incidents/quota-over-limit.md.
+//! docs/incidents/quota-over-limit.md describes the incident that these tests guard against.
 
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
 /// A limit far below the organisation's demand.
 const LOWERED: Limit = Limit { rate: 58_304.0, burst: 209_892.0 };
 
-/// Guards against boxes that all admit requests at once when an empty bucket has refilled enough for
-/// one, and against overdrafts that are lost.
+/// Guards against boxes that all admit a request at the same time when an empty bucket has refilled
+/// enough for one, and against overdrafts that are not recorded.
 #[test]
 fn organisation_that_exceeds_its_limit_many_times_for_long_gets_no_more_than_the_limit() {
     for seed in 1..=8 {
@@ -87,8 +87,9 @@
 /// Number of random schedules. In a manual run of 800, each stayed within the limit.
 const SCHEDULES: u64 = 100;
 
-/// Seeds of schedules that once exceeded the limit, all with a flood during cuts or restarts: boxes
-/// admitted shares of usage data that was up to 0.6 s old (709, 436, 465, 365).
+/// Seeds of schedules in which an organisation once exceeded its limit, all with a flood during
+/// cuts or restarts: boxes computed the shares that they admitted from usage data that was up to
+/// 0.6 s old (709, 436, 465, 365).
 const FAILED_ONCE: [u64; 4] = [365, 436, 465, 709];
 
 /// Guards against schedules of network delays, cuts, restarts and configuration changes in which an
@@ -134,8 +135,8 @@
     assert!(violations.is_empty(), "{violations:#?}");
 }
 
-/// Guards against an excess in a fleet of the intended size (295 entry boxes) with usage data that is
-/// 0.3 s old.
+/// Guards against an excess in a fleet of the intended size (295 entry boxes) with usage data that
+/// is 0.3 s old.
 #[test]
 fn flood_in_a_large_fleet_with_old_usage_data_stays_in_bounds() {
     let limit = Limit { rate: 409_000.0, burst: 409_000.0 };
@@ -178,8 +179,8 @@
     assert!(fleet.boxes[0].charge(fleet.now, "request", "new", 900).is_err());
 }
 
-/// Guards against reports that list every organisation: with many organisations, such reports by each
-/// box ten times a second kept the control boxes of a large fleet busy all the time.
+/// Guards against reports that list every organisation: with many organisations, such reports by
+/// each box ten times a second kept the control boxes of a large fleet busy all the time.
 #[test]
 fn report_lists_only_organisations_with_recent_requests_unless_it_is_full() {
     let limit = Limit { rate: 200_000.0, burst: 200_000.0 };
@@ -205,9 +206,10 @@
     assert!(demand < 50_000, "demand of {demand} a second, though 10,000 are offered");
 }
 
-/// Share of the allowed units that an organisation gets at most in 8 s, under a flood, while the entry
-/// boxes reconnect one after the other within 3 s to a control box that has just started. `known` maps the
-/// number of reconnected boxes to the number that the control box assumes may be running.
+/// Share of the allowed units that an organisation gets at most in 8 s, under a flood, while the
+/// entry boxes reconnect one after the other within 3 s to a control box that has just started.
+/// `known` maps the number of reconnected boxes to the number that the control box assumes may be
+/// running.
 fn share_while_boxes_reconnect(seed: u64, known: impl Fn(usize) -> usize) -> f64 {
     let mut fleet = SimulatedFleet::new(LARGE_FLEET, seed, LOWERED);
     fleet.offer(8.0 * LOWERED.rate, Duration::from_secs(10));
--- a/tests/testsuite/shortage.rs
+++ b/tests/testsuite/shortage.rs
@@ -68,8 +68,8 @@
 /// Seconds in which ten engines remain and their queues have settled.
 const SCARCE: std::ops::Range<usize> = 12..26;
 
-/// Guards against queues at the remaining engines in which requests become late: at least 0.85 of what
-/// any scheduler could serve in time must be served in time, throughout.
+/// Guards against queues at the remaining engines in which requests become late: at least 0.85 of
+/// what any scheduler could serve in time must be served in time, throughout.
 #[test]
 fn remaining_engines_in_a_shortage_serve_requests_in_time() {
     for seed in SEEDS {
@@ -79,9 +79,9 @@
     }
 }
 
-/// Guards against a slow recovery and against refusals without a shortage: at least 0.95 of what any
-/// scheduler could serve in time must be served in time before the shortage, and from 2 s after the
-/// engines are back.
+/// Guards against a slow recovery and against refusals without a shortage: at least 0.95 of what
+/// any scheduler could serve in time must be served in time before the shortage, and from 2 s after
+/// the engines are back.
 #[test]
 fn requests_are_in_time_again_as_soon_as_capacity_is_back() {
     for seed in SEEDS {
@@ -95,7 +95,7 @@
     }
 }
 
-/// Checks that queues matter under this load: without a queue limit hardly anything is served in time.
+/// Checks that this load needs a queue limit: without one hardly anything is served in time.
 #[test]
 fn queues_without_a_limit_collapse() {
     let served = SimulatedShortage::run(Shortage { queue_share: None, ..SHORTAGE }, 1);
--- a/tests/testsuite/simulated_fleet.rs
+++ b/tests/testsuite/simulated_fleet.rs
@@ -1,7 +1,8 @@
-//! A simulated fleet of entry boxes with one organisation, which a control box informs of each other's
-//! usage, under load that arrives at any box.
+//! A simulated fleet of entry boxes with one organisation, which a control box informs of each
+//! other's usage, under load that arrives at any box.
 //!
-//! Quotas and the usage ledger are the product's; time, messages and requests are generated from a seed.
+//! Quotas and the usage ledger are the product's; time, messages and requests are generated from a
+//! seed.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -79,7 +80,7 @@
     first_sent_slot: Slot,
     /// Boxes that exchange no messages with the control box.
     pub(crate) cut_off: BTreeSet<usize>,
-    /// Number of entry boxes that may be running, as the control box assumes.
+    /// Number of entry boxes that the control box assumes may be running.
     pub(crate) known_boxes: u32,
     /// Boxes that have received no configuration since they started.
     unconfigured: BTreeSet<usize>,
@@ -177,8 +178,8 @@
         }
     }
 
-    /// Offers `rate` tokens a second for `time`, each request at a random box, while boxes and control
-    /// box exchange usage.
+    /// Offers `rate` tokens a second for `time`, each request at a random box, while boxes and
+    /// control box exchange usage.
     pub(crate) fn offer(&mut self, rate: f64, time: Duration) {
         let mean = SIZES.iter().sum::<u64>() as f64 / SIZES.len() as f64;
         let arrivals = rate / mean * STEP.as_secs_f64();
