--- a/tests/testsuite/capacity_plan.rs
+++ b/tests/testsuite/capacity_plan.rs
@@ -24,7 +24,8 @@
 
 const STARTUP_TIME: Duration = Duration::from_secs(4);
 
-/// Simulated cloud, which fulfils orders after a start-up time and reclaims reclaimable replicas.
+/// Simulated cloud, which fulfils orders after a start-up time and can reclaim reclaimable
+/// replicas.
 struct Cloud {
     now: Instant,
     planner: Planner,
--- a/tests/testsuite/control_overload.rs
+++ b/tests/testsuite/control_overload.rs
@@ -67,8 +67,9 @@
 /// Number of entry boxes in the test with several rounds.
 const ENTRIES_OF_ROUNDS: usize = 120;
 
-/// Guards against an accepted change that is lost, or not in force at an entry box, after faults of
-/// control boxes that have 0.15 of a core each. `VANEWAY_SEED` selects another series of faults.
+/// Guards against an accepted change that is lost, or is not in force at every entry box, after
+/// faults of control boxes that have 0.15 of a core each. `VANEWAY_SEED` selects another series of
+/// faults.
 #[test]
 fn accepted_configurations_survive_series_of_faults() {
     let seed = std::env::var("VANEWAY_SEED").map_or(1, |seed| seed.parse().expect("a number"));
--- a/tests/testsuite/plain.rs
+++ b/tests/testsuite/plain.rs
@@ -62,7 +62,8 @@
     assert_eq!((response.run.as_deref(), p.total()), (Some("not_run"), 0));
 }
 
-/// Puts both endpoints behind proxies that close the connection before the first byte of a response.
+/// Puts both endpoints behind proxies that close the connection before the first byte of a
+/// response.
 fn cut_before_response(services: [&PlainService; 2]) -> ([Proxy; 2], [Replica; 2]) {
     let proxies = services.map(|service| Proxy::tcp(service.address()));
     let replicas =
@@ -84,8 +85,8 @@
     let response = block_on(caller.send(Method::GET, "/services/reading-room/catalogue", ""));
 
     assert_eq!((response.status, response.run.as_deref()), (200, Some("ran")));
-    // Each proxy cuts one connection: both endpoints ran the request, and the third attempt returned
-    // the response.
+    // Each proxy cuts one connection: both endpoints ran the request, and the third attempt
+    // returned the response.
     assert_eq!(p.total() + q.total(), 3);
 }
 
--- a/tests/testsuite/quarantine.rs
+++ b/tests/testsuite/quarantine.rs
@@ -132,13 +132,13 @@
     let released = vanectl(&setup.entries[0], &["release", fingerprint]);
     assert!(released.contains("released"), "{released}");
     setup.entries[1].wait_for_log(&["event=request_case_told", "verdict=cleared"]);
-    // Without the marker header it runs normally.
+    // Without the marker header the request runs normally.
     let response = setup.send(1, "/stream/x", "q2", "deadly", None);
     assert_eq!((response.status, response.complete), (200, true));
 }
 
-/// Guards against crashes that don't count because the operating system closes the listening socket of
-/// a process that dies later than its connections.
+/// Guards against crashes that don't count because the operating system closes the listening socket
+/// of a process that dies later than its connections.
 #[test]
 fn endpoint_that_listens_a_little_longer_than_it_responds_counts_as_crashed() {
     let setup = Setup::start();
@@ -166,8 +166,8 @@
     assert_eq!((response.status, setup.crashed()), (400, 2));
 }
 
-/// Guards against a quarantined request that counts as another one because the caller spells the host
-/// differently.
+/// Guards against a quarantined request that counts as another one because the caller spells the
+/// host differently.
 #[test]
 fn copy_to_the_same_host_in_another_spelling_is_recognised_as_the_request_that_crashes_endpoints() {
     let setup = Setup::start();
--- a/tests/testsuite/registrations.rs
+++ b/tests/testsuite/registrations.rs
@@ -17,7 +17,8 @@
     assert_eq!(heartbeat::read_deregistration("i-1", b"").unwrap().born, 0);
 }
 
-/// Guards against registrations that lack a field on which routing depends, or have it in another type.
+/// Guards against registrations that lack a field on which routing depends, or have it in another
+/// type.
 #[test]
 fn heartbeat_without_a_field_or_with_one_of_another_type_is_refused() {
     let forms = [
@@ -45,7 +46,8 @@
     }
 }
 
-/// Guards against arrays of field values, which a derived deserializer accepts in place of an object.
+/// Guards against arrays of field values, which a derived deserializer accepts in place of an
+/// object.
 #[test]
 fn registration_that_is_a_list_is_refused() {
     let list = r#"["maps","10.1.0.9:8080","north",8,"ready",false,null,4,1790000000000]"#;
--- a/tests/testsuite/stop.rs
+++ b/tests/testsuite/stop.rs
@@ -91,8 +91,8 @@
     assert_eq!(entry.wait(), Some(0));
 }
 
-/// Guards against a SIGHUP that terminates the process because its handler is not installed yet, or not
-/// while the process writes its state.
+/// Guards against a SIGHUP that terminates the process because its handler is not installed yet, or
+/// not while the process writes its state.
 #[test]
 fn repeated_hangup_signals_right_after_the_start_do_not_stop_the_process() {
     let a = engine();
--- a/tests/testsuite/streams.rs
+++ b/tests/testsuite/streams.rs
@@ -30,8 +30,8 @@
 /// Notice period that leaves no time to finish a stream.
 const SHORT_NOTICE: Duration = Duration::from_millis(150);
 
-/// The chunks of a response without the fields that differ between requests; the id and the creation
-/// time must be the same in all chunks of one response.
+/// The chunks of a response without the fields that differ between requests; the id and the
+/// creation time must be the same in all chunks of one response.
 fn chunks(response: &ReceivedResponse) -> Vec<Value> {
     assert_eq!(response.status, 200, "{}", String::from_utf8_lossy(&response.body));
     assert!(response.complete, "truncated: {}", String::from_utf8_lossy(&response.body));
@@ -76,8 +76,8 @@
     start_entry(&deployment().engines(&replicas(engines)))
 }
 
-/// Starts an entry box in front of `engines` whose boxes the platform can reclaim; returns it with a
-/// caller.
+/// Starts an entry box in front of `engines` whose boxes the platform can reclaim; returns it with
+/// a caller.
 fn start_entry_with_reclaimable(
     engines: &[&Engine],
     platform: &CloudPlatform,
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -51,8 +51,8 @@
     serde_json::from_str(&vanectl(process, &args)).expect("JSON output")
 }
 
-/// Engines of a simulated fleet, named by number: all are in one availability zone and accept as many
-/// open requests as the largest engine does.
+/// Engines of a simulated fleet, named by number: all are in one availability zone and accept as
+/// many open requests as the largest engine does.
 pub fn simulated_engines(count: u32) -> Vec<EndpointSpec> {
     let engine = |i: u32| EndpointSpec {
         name: format!("engine-{i}"),
--- a/tests/testsuite/telling.rs
+++ b/tests/testsuite/telling.rs
@@ -30,7 +30,8 @@
     SocketAddr::from(([10, 0, 0, i], 7_600))
 }
 
-/// Control boxes that sent a message just now, the first of them in the entry box's availability zone.
+/// Control boxes that sent a message just now, the first of them in the entry box's availability
+/// zone.
 fn recent_publishers(count: u8) -> Vec<Publisher> {
     let publisher = |i| Publisher {
         address: address(i),
@@ -71,8 +72,8 @@
 }
 
 /// Guards against a restarted control box that counts only the entry boxes already connected: since
-/// quotas are divided by the number of boxes that may be running, the first ones would get the complete
-/// quotas.
+/// quotas are divided by the number of boxes that may be running, the first ones to connect would
+/// get the complete quotas.
 #[test]
 fn restarted_control_box_counts_entry_boxes_that_may_still_reconnect() {
     let mut group = ControlGroup::start(Path::new(env!("CARGO_BIN_EXE_vaneway")), 1);
@@ -113,9 +114,9 @@
     group.until("each entry box receives updates from the others", |_| all_receive_updates(&group));
 }
 
-/// Guards against usage windows that wait for reports of entry boxes which have stopped as planned: on
-/// scale-1 of odalaigh-vane-large, such a window's counts were lost when all control boxes were killed
-/// meanwhile.
+/// Guards against usage windows that wait for reports of entry boxes which have stopped as planned:
+/// on scale-1 of odalaigh-vane-large, such a window's counts were lost when all control boxes were
+/// killed meanwhile.
 #[test]
 fn entry_box_that_stops_as_planned_sends_its_final_report_to_all_control_boxes() {
     let group = ControlGroup::start(Path::new(env!("CARGO_BIN_EXE_vaneway")), 3);
@@ -143,13 +144,13 @@
     Process::spawn(Path::new(env!("CARGO_BIN_EXE_vaneway")), folder, &settings)
 }
 
-/// Number of reports that an entry box sends in half a second, long after it received the list of
-/// control boxes.
+/// Number of reports that an entry box sends in half a second, which ends long after it received
+/// the list of control boxes.
 const MIN_REPORTS: usize = 5;
 
-/// Guards against entry boxes that leave a control box which has just been added: it reads the Raft log
-/// from the beginning and advertised the members of that time, which did not include it. All entry
-/// boxes left it, so that it and every later leader knew nothing of their requests.
+/// Guards against entry boxes that leave a control box which has just been added: it reads the Raft
+/// log from the beginning and advertised the members of that time, which did not include it. All
+/// entry boxes left it, so that it and every later leader knew nothing of their requests.
 #[test]
 fn entry_box_stays_with_a_control_box_that_does_not_know_its_own_membership_yet() {
     let folder = tempfile::tempdir().unwrap();
@@ -192,7 +193,8 @@
 }
 
 /// Guards against sums at a control box that differ from the sum of the entry boxes' latest reports
-/// after losses or repeated reports, and against receivers of all changes that arrive at other sums.
+/// after losses or repeated reports, and against receivers of all changes that arrive at other
+/// sums.
 #[test]
 fn sums_of_loads_match_the_latest_report_of_each_entry_box() {
     property::check("sums of loads", 500, |steps: Vec<Step>| {
--- a/tests/testsuite/turns.rs
+++ b/tests/testsuite/turns.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Guards against urgent tasks that wait behind every task that waits for a turn.
+/// Guards against urgent tasks that wait until every task that waits for a turn has run.
 #[test]
 fn turns_are_given_in_order_and_urgent_work_runs_before_the_next() {
     let ran = Ran::default();
@@ -55,8 +55,8 @@
     assert_eq!(*ran.borrow(), ["next"]);
 }
 
-/// Guards against a slow first reconnect, against delays that do not grow or exceed their bound, and
-/// against boxes that reconnect in lockstep.
+/// Guards against a slow first reconnect, against delays that do not grow or exceed their bound,
+/// and against boxes that reconnect in lockstep.
 #[test]
 fn reconnect_delays_grow_with_short_lived_connections_and_differ_between_boxes() {
     let delays = |draw| {
